--- a/src/pomeloyard/keyvalue/memory.py
+++ b/src/pomeloyard/keyvalue/memory.py
@@ -15,7 +15,12 @@
 from anyio.streams.memory import MemoryObjectSendStream
 
 from ..clock import Clock
-from ..errors import CompactedError, LeaseLostError, StoreUnavailableError
+from ..errors import (
+    CompactedError,
+    LeaseLostError,
+    StoreError,
+    StoreUnavailableError,
+)
 from .store import (
     CallCounter,
     CommitResult,
@@ -127,11 +132,7 @@
         if from_revision <= self._compact_revision:
             raise CompactedError(self._compact_revision + 1)
         send, receive = anyio.create_memory_object_stream[WatchBatch](10_000)
-        past = tuple(
-            e
-            for e in self._history
-            if e.revision >= from_revision and e.key.startswith(prefix)
-        )
+        past = self._events(prefix, from_revision)
         if past:
             send.send_nowait(WatchBatch(past, self._revision))
         self._watchers[send] = prefix
@@ -151,9 +152,40 @@
         """Return changes after a revision, or an empty batch when ``wait`` is over."""
         start = after_revision + 1
         async with self.watch(prefix, from_revision=start) as batches:
-            with anyio.move_on_after(wait.total_seconds()):
-                return await anext(batches)
-        return WatchBatch((), max(self._revision, after_revision))
+            if not self._events(prefix, start):
+                await self._wait_for_batch(batches, wait)
+        if start <= self._compact_revision:
+            raise CompactedError(self._compact_revision + 1)
+        # Not the batch itself, which is lost if the wait ends as it arrives.
+        events = self._events(prefix, start)
+        return WatchBatch(events, max(self._revision, after_revision))
+
+    def _events(self, prefix: str, from_revision: int) -> tuple[WatchEvent, ...]:
+        recent = itertools.takewhile(
+            lambda event: event.revision >= from_revision, reversed(self._history)
+        )
+        found = [event for event in recent if event.key.startswith(prefix)]
+        return tuple(reversed(found))
+
+    async def _wait_for_batch(
+        self, batches: AsyncIterator[WatchBatch], wait: timedelta
+    ) -> None:
+        """Return at the next batch or after ``wait``; raise the watch's error."""
+        errors: list[StoreError] = []
+
+        async def end_wait(scope: anyio.CancelScope) -> None:
+            await self._clock.sleep(wait)
+            scope.cancel()
+
+        async with anyio.create_task_group() as tasks:
+            tasks.start_soon(end_wait, tasks.cancel_scope)
+            try:
+                await anext(batches)
+            except StoreError as error:
+                errors.append(error)
+            tasks.cancel_scope.cancel()
+        if errors:
+            raise errors[0]
 
     def expire(self) -> None:
         """Revoke leases whose time to live has passed."""
--- a/tests/support/job_fakes.py
+++ b/tests/support/job_fakes.py
@@ -37,11 +37,17 @@
                 self.silent_prefix, self.silent_polls = "", 1
             await self._clock.sleep(wait + SILENT_POLL_EXTRA_WAIT)
             raise StoreUnavailableError("silent")
-        return await super().poll_changes(prefix, after_revision, wait)
+        self._check_up()
+        batch = await super().poll_changes(prefix, after_revision, wait)
+        self._check_up()
+        return batch
 
-    def _record_call(self, method: str) -> None:
+    def _check_up(self):
         if self.down:
             raise StoreUnavailableError("down")
+
+    def _record_call(self, method: str) -> None:
+        self._check_up()
         self.calls_by_method[method] = self.calls_by_method.get(method, 0) + 1
 
     async def get(self, key):
