--- a/src/pomeloyard/platform/advice.py
+++ b/src/pomeloyard/platform/advice.py
@@ -9,6 +9,7 @@
 
 from ..batch.advice import Advice, AdviceService
 from ..errors import CallUnansweredError
+from .codec import decode_json
 from .executors import to_duration
 from .http import HttpClient
 
@@ -37,7 +38,7 @@
         if response.status != 200:
             raise CallUnansweredError(f"/advise: status {response.status}")
         try:
-            decoded = msgspec.json.decode(response.body, type=_AdviceResponse)
+            decoded = decode_json(response.body, _AdviceResponse)
         except msgspec.MsgspecError as error:
             raise CallUnansweredError(f"/advise: {error}") from error
         return Advice(dict(decoded.good), to_duration(decoded.valid_ms))
--- a/src/pomeloyard/platform/caller_app.py
+++ b/src/pomeloyard/platform/caller_app.py
@@ -21,6 +21,7 @@
 from ..errors import OutcomeUnknownError, RefusedError
 from ..outcomes import RefusalReason, Unknown, UnknownReason
 from .bodies import read_body, refused
+from .codec import decode_json
 
 DEFAULT_CALL_TIMEOUT = timedelta(seconds=3)
 """Applies to requests without a deadline header."""
@@ -83,7 +84,7 @@
 def decode_job(body: bytes) -> JobSpec:
     """Decode a submitted job; raises RefusedError."""
     try:
-        job = msgspec.json.decode(body, type=_Job)
+        job = decode_json(body, _Job)
     except msgspec.MsgspecError as error:
         raise refused(RefusalReason.INVALID_INPUT, str(error)) from error
     return JobSpec(
--- a/src/pomeloyard/platform/documents.py
+++ b/src/pomeloyard/platform/documents.py
@@ -19,6 +19,7 @@
     TeamLimits,
     Wave,
 )
+from .codec import decode_json
 
 T = TypeVar("T")
 
@@ -103,7 +104,7 @@
 def decode(content: bytes, kind: type[T]) -> T:
     """Decode a JSON document; raises DocumentError."""
     try:
-        return msgspec.json.decode(content, type=kind)
+        return decode_json(content, kind)
     except msgspec.MsgspecError as error:
         raise DocumentError(str(error)) from error
 
--- a/src/pomeloyard/platform/executors.py
+++ b/src/pomeloyard/platform/executors.py
@@ -19,6 +19,7 @@
 )
 from ..batch.progress import EndKind
 from ..errors import CallUnansweredError, StaleFenceError
+from .codec import decode_json
 from .http import HttpClient, Response, always_permitted
 
 INSTANCE_HEADER = "X-Expect-Instance"
@@ -191,7 +192,7 @@
 
 def _decode(response: Response, kind: type[T]) -> T:
     try:
-        return msgspec.json.decode(response.body, type=kind)
+        return decode_json(response.body, kind)
     except msgspec.MsgspecError as error:
         raise CallUnansweredError(f"cannot decode response: {error}") from error
 
--- a/src/pomeloyard/platform/store_client.py
+++ b/src/pomeloyard/platform/store_client.py
@@ -37,6 +37,7 @@
     WatchBatch,
     WatchEvent,
 )
+from .codec import decode_json
 from .http import HttpClient, Response
 
 MAX_CALL_TIMEOUT = timedelta(seconds=1.2)
@@ -359,7 +360,7 @@
 
 def _decode(response: Response, kind: type[T]) -> T:
     try:
-        return msgspec.json.decode(response.body, type=kind)
+        return decode_json(response.body, kind)
     except msgspec.MsgspecError as error:
         raise StoreOutcomeUnknownError(f"unreadable answer: {error}") from error
 
--- a/src/pomeloyard/platform/vms.py
+++ b/src/pomeloyard/platform/vms.py
@@ -10,6 +10,7 @@
 
 from ..batch.vms import PoolVm, VmAnswer, VmService, VmState
 from ..errors import CallUnansweredError, StaleFenceError
+from .codec import decode_json
 from .http import HttpClient, always_permitted
 
 CALL_TIMEOUT = timedelta(seconds=1.5)
@@ -67,7 +68,7 @@
             if response.status != 200:
                 raise CallUnansweredError(f"{target}: status {response.status}")
             try:
-                page = msgspec.json.decode(response.body, type=_MachinePage)
+                page = decode_json(response.body, _MachinePage)
             except msgspec.MsgspecError as error:
                 raise CallUnansweredError(f"{target}: {error}") from error
             found.extend(_vm(machine) for machine in page.machines)
@@ -107,7 +108,7 @@
         if response.status != 409:
             raise CallUnansweredError(f"{path}: status {response.status}")
         try:
-            reason = msgspec.json.decode(response.body, type=_ConflictResponse).reason
+            reason = decode_json(response.body, _ConflictResponse).reason
         except msgspec.MsgspecError as error:
             raise CallUnansweredError(f"{path}: {error}") from error
         if reason == "fence":
--- a/tests/platform/test_malformed.py
+++ b/tests/platform/test_malformed.py
@@ -138,6 +138,49 @@
             continue
 
 
+NESTED = b'{"x":' + b"[" * 100_000 + b"]" * 100_000 + b"}"
+
+
+@pytest.mark.parametrize(
+    ("decode", "error"),
+    [
+        (PlatformDocuments().configuration, DocumentError),
+        (lambda body: PlatformDocuments().wave("op/wave/3", body), DocumentError),
+        (
+            lambda body: RegistrationDocuments().executor("servers/i", body),
+            DocumentError,
+        ),
+        (decode_job, RefusedError),
+    ],
+    ids=["configuration", "wave", "registration", "job"],
+)
+def test_deep_nesting_is_rejected_like_any_other_malformed_message(decode, error):
+    # The decoder's RecursionError ended the placing term of every daemon in turn after
+    # one such registration.
+    with pytest.raises(error):
+        decode(NESTED)
+
+
+async def test_responses_that_are_nested_deeply_count_as_unanswered():
+    caller = Caller(NESTED)
+    executor = Executor("e", "e:1", "s", "z", Resources(1), (), False, 1)
+    calls = [
+        lambda: PlatformExecutors(caller).poll(
+            executor,
+            fence=1,
+            acknowledged=0,
+            lease_until=None,
+            wait=SECOND,
+            timeout=SECOND,
+        ),
+        lambda: PlatformVms(caller, "a:1").list(),
+        lambda: PlatformAdvice(caller, "a:1").advise("s", ("e",), SECOND),
+    ]
+    for call in calls:
+        with pytest.raises(CallUnansweredError):
+            await call()
+
+
 def test_a_job_is_accepted_or_refused():
     check_spec(decode_job(json.dumps(JOB).encode()))
     for seed in SEEDS:
