--- a/src/pomeloyard/batch/configuration_follower.py
+++ b/src/pomeloyard/batch/configuration_follower.py
@@ -1,9 +1,9 @@
-"""Follows configurations and waves, and measures how current the copy is."""
+"""Follows configurations, waves and evacuations, and how current the copy is."""
 
 from __future__ import annotations
 
 import random
-from collections.abc import Callable
+from collections.abc import Callable, Collection
 from datetime import timedelta
 from typing import Protocol
 
@@ -11,8 +11,14 @@
 import logbook
 
 from ..clock import Clock
-from ..errors import CompactedError, PomeloyardError, StoreError
-from ..keyvalue.store import Entry, PollingStore
+from ..errors import (
+    CompactedError,
+    PomeloyardError,
+    StoreError,
+    StoreUnavailableError,
+)
+from ..keyvalue.store import Entry, Page, PollingStore, WatchEvent
+from .evacuations import DEFAULT_EVACUATION_BOUND, ZoneEvacuations, ZoneGate
 from .model import Configuration, Wave
 
 POLL_WAIT = timedelta(seconds=0.5)
@@ -26,13 +32,13 @@
 
 
 class DocumentError(PomeloyardError):
-    """A configuration, wave or registration cannot be decoded."""
+    """A configuration, wave, evacuation or registration cannot be decoded."""
 
 
 class ConfigurationDocuments(Protocol):
-    """Store keys and decoders of configurations and waves.
+    """Store keys and decoders of configurations, waves and evacuations.
 
-    Both decoders raise DocumentError.
+    All decoders raise DocumentError.
     """
 
     prefix: str
@@ -46,12 +52,24 @@
         """Decode a wave; None if the key does not belong to a wave."""
         ...
 
+    def evacuated_zone(self, key: str) -> str | None:
+        """Return the zone that a key evacuates while it exists; None for other keys."""
+        ...
+
 
 class ConfigurationFollower:
-    """Keeps a current copy of the newest configuration and the waves."""
+    """Keeps a current copy of the configuration, the waves and the evacuations.
+
+    ``known_zones`` names the availability zones of the deployment, if they are known.
+    """
 
     def __init__(
-        self, clock: Clock, store: PollingStore, documents: ConfigurationDocuments
+        self,
+        clock: Clock,
+        store: PollingStore,
+        documents: ConfigurationDocuments,
+        evacuation_bound: timedelta = DEFAULT_EVACUATION_BOUND,
+        known_zones: Collection[str] = (),
     ) -> None:
         self._clock = clock
         self._store = store
@@ -61,7 +79,13 @@
         """Store revision of the configuration's key."""
         self.waves_by_id: dict[int, Wave] = {}
         self.wave_received_at_by_id: dict[int, timedelta] = {}
+        self.evacuations = ZoneEvacuations()
+        self.zone_gate = ZoneGate(self.evacuations, self.proof_age, evacuation_bound)
+        self._known_zones = frozenset(known_zones)
+        self._position = 0
+        """Store revision up to which all changes are applied; it never decreases."""
         self._confirmed_at: timedelta | None = None
+        self._confirmed = anyio.Event()
         self._changed = anyio.Event()
         self.on_change: list[Callable[[], None]] = []
         self._store_reachable = False
@@ -83,50 +107,105 @@
         with anyio.move_on_after(timeout.total_seconds()):
             await changed.wait()
 
+    async def wait_until_current(self) -> None:
+        """Return once the copy is new enough for starts."""
+        while not self.zone_gate.is_current:
+            await self._confirmed.wait()
+
     async def run(self) -> None:
         """Follow until cancelled."""
-        position: int | None = None
+        loaded = False
         while True:
             try:
                 asked_at = self._clock.monotonic()
-                if position is None:
-                    position = await self._load_all()
+                if loaded:
+                    await self._poll()
                 else:
-                    batch = await self._store.poll_changes(
-                        self._documents.prefix, position, POLL_WAIT
-                    )
-                    for event in batch.events:
-                        if event.entry is not None:
-                            self._apply(event.entry)
-                    position = batch.revision
+                    await self._load_all()
+                    loaded = True
                 self._confirmed_at = asked_at
+                self._confirmed.set()
+                self._confirmed = anyio.Event()
                 self._set_store_reachable(True, "")
             except CompactedError as error:
                 log.info("watch revision was compacted, reloading all: {}", error)
-                position = None
+                loaded = False
             except StoreError as error:
                 self._set_store_reachable(False, str(error))
                 await self._clock.sleep(RETRY_DELAY * random.uniform(0.5, 1.5))
 
-    async def _load_all(self) -> int:
+    async def _poll(self) -> None:
+        # A copy that is too old for starts is confirmed at once.
+        wait = POLL_WAIT if self.zone_gate.is_current else timedelta(0)
+        batch = await self._store.poll_changes(
+            self._documents.prefix, self._position, wait
+        )
+        for event in batch.events:
+            self._apply(event)
+        self._position = max(self._position, batch.revision)
+
+    async def _load_all(self) -> None:
+        """Read all documents; an evacuation that is no longer listed has ended.
+
+        Raises StoreUnavailableError if the store answers from an earlier state.
+        """
         page = await self._store.scan(self._documents.prefix)
         revision = page.revision
+        listed: dict[str, int] = {}
         while True:
+            self._check_not_older(page)
             for entry in page.entries:
-                self._apply(entry)
+                self._apply(WatchEvent(entry.key, entry, entry.mod_revision))
+                zone = self._documents.evacuated_zone(entry.key)
+                if zone:
+                    listed[zone] = entry.mod_revision
             if not page.more:
-                return revision
+                break
             last = page.entries[-1].key
             page = await self._store.scan(self._documents.prefix, start=last + "\0")
+        if self.evacuations.replace_all(listed, revision):
+            self._log_evacuations()
+            self._notify()
+        self._position = max(self._position, revision)
+
+    def _check_not_older(self, page: Page) -> None:
+        if page.revision < self._position:
+            raise StoreUnavailableError(
+                f"the store answered from revision {page.revision},"
+                f" before {self._position}"
+            )
 
-    def _apply(self, entry: Entry) -> None:
+    def _apply(self, event: WatchEvent) -> None:
         try:
-            if entry.key == self._documents.configuration_key:
-                self._apply_configuration(entry)
+            zone = self._documents.evacuated_zone(event.key)
+            if zone is not None:
+                self._apply_evacuation(zone, event)
+            elif event.entry is None:
+                # Configurations are never deleted, and a wave is carried out even if
+                # its operator removes the request afterwards.
+                log.info("ignoring the deletion of {}", event.key)
+            elif event.key == self._documents.configuration_key:
+                self._apply_configuration(event.entry)
             else:
-                self._apply_wave(entry)
+                self._apply_wave(event.entry)
         except DocumentError as error:
-            log.warning("ignoring {}, which cannot be decoded: {}", entry.key, error)
+            log.warning("ignoring {}, which cannot be decoded: {}", event.key, error)
+
+    def _apply_evacuation(self, zone: str, event: WatchEvent) -> None:
+        if not zone:
+            log.warning("ignoring {}, which names no availability zone", event.key)
+            return
+        evacuated = event.entry is not None
+        if not self.evacuations.apply(zone, event.revision, evacuated):
+            return
+        if self._known_zones and zone not in self._known_zones:
+            log.warning("evacuation of unknown availability zone {!r}", zone)
+        self._log_evacuations()
+        self._notify()
+
+    def _log_evacuations(self) -> None:
+        zones = sorted(self.evacuations.zones)
+        log.info("evacuated availability zones: {}", ", ".join(zones) or "none")
 
     def _apply_configuration(self, entry: Entry) -> None:
         """Apply a configuration unless it is older than the current one."""
--- a/src/pomeloyard/batch/executor_link.py
+++ b/src/pomeloyard/batch/executor_link.py
@@ -12,7 +12,12 @@
 import logbook
 
 from ..clock import Clock
-from ..errors import CallNotSentError, CallUnansweredError, StaleFenceError
+from ..errors import (
+    CallNotPermittedError,
+    CallNotSentError,
+    CallUnansweredError,
+    StaleFenceError,
+)
 from .executors import (
     EndedTask,
     Executor,
@@ -157,6 +162,13 @@
         """Tell whether a stop stays within the disruption budget of the run's step."""
         ...
 
+    def may_start_in(self, zone: str) -> bool:
+        """Tell whether tasks may be started in an availability zone now."""
+        ...
+
+    async def wait_until_current(self) -> None:
+        """Wait until the copy of the evacuations is new enough for starts."""
+
     def handle_stale_fence(self, link: ExecutorLink) -> None:
         """End the term, as an executor has seen a higher fencing token."""
 
@@ -220,6 +232,8 @@
         """Whether the VM is drained for its maintenance and gets no new runs."""
         self.cordoned_for_move = False
         """Whether the VM is drained for another pool and gets no new runs."""
+        self.zone_evacuated = False
+        """Whether its availability zone is evacuated, so that nothing is started."""
         self.spreading_tasks = False
         """Whether lasting tasks are being moved off the VM one by one."""
         self.needs_maintenance = False
@@ -233,6 +247,11 @@
     @property
     def usable(self) -> bool:
         """Tell whether new runs may be placed here."""
+        return not self.zone_evacuated and self.operational
+
+    @property
+    def operational(self) -> bool:
+        """Tell whether new runs could be placed here if its zone is not evacuated."""
         return (
             self.registered
             and self.reachable
@@ -527,9 +546,16 @@
             self._handler.spawn(self, self._send_start, placed)
 
     async def _send_start(self, placed: PlacedRun) -> None:
+        await self._handler.wait_until_current()
+        if not self._is_pending_start(placed):
+            # Stopped or given up meanwhile.
+            return
         now = self._clock.monotonic()
         task = placed.task
-        if self._clock_offset is None or not self.usable:
+        if self.zone_evacuated:
+            self._start_refused(placed, StartAnswer.NOT_PERMITTED)
+            return
+        if self._clock_offset is None or not self.operational:
             self._start_refused(placed, StartAnswer.NOT_ACCEPTED)
             return
         order = StartOrder(
@@ -544,11 +570,17 @@
         self._last_lease_at = placed.ordered_at = now
         try:
             answer, clock = await self._client.start(
-                self.executor, order, ORDER_TIMEOUT
+                self.executor,
+                order,
+                ORDER_TIMEOUT,
+                lambda: self._may_send_start(placed),
             )
         except StaleFenceError:
             self._handler.handle_stale_fence(self)
             return
+        except CallNotPermittedError:
+            self._start_refused(placed, StartAnswer.NOT_PERMITTED)
+            return
         except CallNotSentError as error:
             self._mark_unreachable(str(error))
             self._start_refused(placed, StartAnswer.NOT_ACCEPTED)
@@ -574,6 +606,15 @@
             placed.acknowledged_at = answered_at
             task.started_at = answered_at
 
+    def _is_pending_start(self, placed: PlacedRun) -> bool:
+        """Tell whether a start is still to be sent."""
+        tracked = self.runs_by_name.get(placed.task.name) is placed
+        return tracked and placed.phase is Phase.START_SENT
+
+    def _may_send_start(self, placed: PlacedRun) -> bool:
+        zone = self.executor.availability_zone
+        return self._is_pending_start(placed) and self._handler.may_start_in(zone)
+
     def _record_unanswered_start(
         self, placed: PlacedRun, ordered_at: timedelta
     ) -> None:
--- a/src/pomeloyard/batch/executors.py
+++ b/src/pomeloyard/batch/executors.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from abc import ABC, abstractmethod
+from collections.abc import Callable
 from dataclasses import dataclass
 from datetime import timedelta
 from enum import Enum
@@ -53,6 +54,8 @@
     NO_TICKET = "no-ticket"
     NOT_ACCEPTED = "not-taken"
     OTHER_INCARNATION = "other-incarnation"
+    NOT_PERMITTED = "not-permitted"
+    """Not sent: the zone is evacuated, or the role is no longer held."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -101,9 +104,17 @@
 
     @abstractmethod
     async def start(
-        self, executor: Executor, order: StartOrder, timeout: timedelta
+        self,
+        executor: Executor,
+        order: StartOrder,
+        timeout: timedelta,
+        permitted: Callable[[], bool],
     ) -> tuple[StartAnswer, timedelta | None]:
-        """Start a run; return the result and the executor's clock, if reported."""
+        """Start a run; return the result and the executor's clock, if reported.
+
+        Raises CallNotPermittedError if ``permitted``, called immediately before
+        sending, returns False.
+        """
 
     @abstractmethod
     async def stop(
--- a/src/pomeloyard/batch/metrics.py
+++ b/src/pomeloyard/batch/metrics.py
@@ -78,6 +78,14 @@
             "Time since the daemon was certainly current",
             value=age.total_seconds(),
         )
+        evacuated = GaugeMetricFamily(
+            "pomeloyard_zone_evacuated",
+            "Evacuated availability zones, as far as known",
+            labels=["zone"],
+        )
+        for zone in sorted(self._follower.evacuations.zones):
+            evacuated.add_metric([zone], 1)
+        yield evacuated
         yield from self._term_metrics()
 
     def _term_metrics(self) -> Iterator[Metric]:
--- a/src/pomeloyard/batch/placing_term.py
+++ b/src/pomeloyard/batch/placing_term.py
@@ -145,6 +145,8 @@
         self._tasks: anyio.abc.TaskGroup | None = None
         self._ended = anyio.Event()
         self._active_jobs: dict[str, JobRun] = {}
+        self._evacuated_zones: frozenset[str] = frozenset()
+        """The evacuated zones as last recorded."""
         self.vm_controller = new_vm_controller(self) if new_vm_controller else None
         self._writer = ProgressWriter(clock, store, guard)
         self.demand = PoolDemand(
@@ -169,12 +171,20 @@
 
     async def run(self) -> None:
         """Run until the role is lost or the term is cancelled."""
+        self._follower.on_change.append(self._update_evacuated_zones)
+        try:
+            await self._run()
+        finally:
+            self._follower.on_change.remove(self._update_evacuated_zones)
+
+    async def _run(self) -> None:
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
             tasks.start_soon(self._registry.run)
             position = await self._load()
             self._registry.on_change = self._update_links
             self._update_links()
+            self._update_evacuated_zones()
             tasks.start_soon(self._watch_jobs, position)
             tasks.start_soon(self._run_housekeeping)
             tasks.start_soon(self._run_planner)
@@ -322,6 +332,7 @@
                 # It has no address to poll; the VM list may show that it is gone.
                 link.unreachable_since = self._clock.monotonic()
             self.links_by_id[executor_id] = link
+            self._update_evacuated_zone(link)
             if known is not None:
                 self.spawn(link, link.run)
         return link
@@ -333,11 +344,29 @@
             if not link.executor.address:
                 self.spawn(link, link.run)
             link.update(executor)
+            self._update_evacuated_zone(link)
         for executor_id, link in self.links_by_id.items():
             if executor_id not in self._registry.executors_by_id:
                 link.registered = False
         self.request_plan()
 
+    def _update_evacuated_zones(self) -> None:
+        """Update the links after evacuations changed, and record the change."""
+        zones = self._follower.evacuations.zones
+        for zone in sorted(zones ^ self._evacuated_zones):
+            outcome = "evacuated" if zone in zones else "readmitted"
+            self._decision_log.record("zone", zone, outcome)
+        if zones == self._evacuated_zones:
+            return
+        self._evacuated_zones = zones
+        for link in self.links_by_id.values():
+            self._update_evacuated_zone(link)
+        self.request_plan()
+
+    def _update_evacuated_zone(self, link: ExecutorLink) -> None:
+        zone = link.executor.availability_zone
+        link.zone_evacuated = zone in self._follower.evacuations.zones
+
     async def _watch_jobs(self, position: int) -> None:
         wait = WATCH_WAIT
         while True:
@@ -519,6 +548,14 @@
         """Tell whether stopping a run respects its step's disruption budget."""
         return self.disruption_budgets.may_disrupt([placed])
 
+    def may_start_in(self, zone: str) -> bool:
+        """Tell whether tasks may be started in an availability zone now."""
+        return self._follower.zone_gate.may_start_in(zone)
+
+    async def wait_until_current(self) -> None:
+        """Wait until the copy of the evacuations is new enough for starts."""
+        await self._follower.wait_until_current()
+
     def handle_stale_fence(self, link: ExecutorLink) -> None:
         """End the term after an executor reported a higher fencing token."""
         self._decision_log.record(
@@ -756,7 +793,8 @@
         )
         self.usage.remove(link.executor.executor_id, link.executor.rack, task)
         task.step.job.end(task, placed.run, EndKind.LOST, "")
-        task.not_before = now + REFUSED_START_DELAY
+        if answer is not StartAnswer.NOT_PERMITTED:
+            task.not_before = now + REFUSED_START_DELAY
         self._stop_gang(task, placed.run)
         self._job_changed(task.step.job)
 
--- a/src/pomeloyard/batch/pool_scaling.py
+++ b/src/pomeloyard/batch/pool_scaling.py
@@ -130,6 +130,8 @@
     pool: str
     on_standby: bool
     idle_for: timedelta
+    zone_evacuated: bool = False
+    """Whether its availability zone is evacuated; it can only go to standby."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -155,7 +157,10 @@
 ) -> list[Move]:
     """Return the moves of spare VMs to pools in need and back to standby."""
     moves: list[Move] = []
-    free = sorted(spares, key=lambda s: (not s.on_standby, s.vm))
+    free = sorted(
+        (spare for spare in spares if not spare.zone_evacuated),
+        key=lambda s: (not s.on_standby, s.vm),
+    )
     has_backlog: Mapping[str, bool] = {
         load.name: load.waiting_core_seconds > 0 for load in loads
     }
@@ -184,6 +189,11 @@
         if surplus.get(spare.pool, 0) > 0 and not has_backlog.get(spare.pool):
             surplus[spare.pool] -= 1
             moves.append(Move(spare.vm, standby_pool))
+    moves.extend(
+        Move(spare.vm, standby_pool)
+        for spare in spares
+        if spare.zone_evacuated and spare.idle_for >= RELEASE_IDLE_TIME
+    )
     return moves
 
 
--- a/src/pomeloyard/batch/vm_controller.py
+++ b/src/pomeloyard/batch/vm_controller.py
@@ -116,6 +116,7 @@
             term,
             self._listing,
             self._orders,
+            follower.zone_gate,
             holder,
             role.epoch,
             move_time,
--- a/src/pomeloyard/batch/vm_mover.py
+++ b/src/pomeloyard/batch/vm_mover.py
@@ -11,6 +11,7 @@
 
 from .decision_log import JobDecisionLog
 from .demand import PoolDemand
+from .evacuations import ZoneGate
 from .executor_link import ExecutorLink
 from .fenced_records import FencedRecords
 from .model import Configuration
@@ -65,6 +66,7 @@
         term: PoolTerm,
         listing: VmListing,
         orders: VmOrders,
+        zone_gate: ZoneGate,
         holder: str,
         epoch: int,
         move_time: timedelta,
@@ -75,9 +77,11 @@
         self._term = term
         self._listing = listing
         self._orders = orders
+        self._zone_gate = zone_gate
         self._holder = holder
         self._epoch = epoch
         self._move_time = move_time
+        self._standby_pool = ""
         self._initial_vms_by_pool: dict[str, int] = {}
         self._idle_since: dict[str, timedelta] = {}
         self._logged_at: timedelta | None = None
@@ -105,6 +109,7 @@
         )
         if standby is None:
             return
+        self._standby_pool = standby
         spares = []
         busy = []
         for vm in self._listing.vms_by_name.values():
@@ -172,14 +177,16 @@
             )
 
     def _spare_vm(self, vm: PoolVm, on_standby: bool, now: timedelta) -> IdleVm | None:
+        evacuated = self._zone_gate.is_evacuated(vm.availability_zone)
         if on_standby:
-            return IdleVm(vm.name, vm.pool, True, timedelta(0))
+            standby_vm = IdleVm(vm.name, vm.pool, True, timedelta(0))
+            return None if evacuated else standby_vm
         link = self._term.links_by_id.get(vm.executor_id)
-        if link is None or not link.usable or link.runs_by_name:
+        if link is None or not link.operational or link.runs_by_name:
             self._idle_since.pop(vm.name, None)
             return None
         since = self._idle_since.setdefault(vm.name, now)
-        return IdleVm(vm.name, vm.pool, False, now - since)
+        return IdleVm(vm.name, vm.pool, False, now - since, evacuated)
 
     def _pool_loads(
         self, configuration: Configuration, waiting: dict[str, float], standby: str
@@ -207,9 +214,11 @@
                 vm.pool == name
                 and vm.state is not VmState.DOWN
                 and vm.name not in self._orders.by_vm
+                and not self._zone_gate.is_evacuated(vm.availability_zone)
                 for vm in self._listing.vms_by_name.values()
             )
             lasting = lasting_loads.get(name, LongRunningLoad())
+            evacuated = self._evacuated_load(name)
             rate = demand.arrival_rate(name)
             loads.append(
                 PoolLoad(
@@ -219,18 +228,36 @@
                     present + arriving,
                     arriving,
                     self._initial_vms_by_pool.get(name, 0),
-                    long_running_vms=lasting.vms,
+                    long_running_vms=max(0, lasting.vms - evacuated.vms),
                     peak=demand.next_peak(name),
                     urgent_core_seconds=urgent_loads.get(name, 0.0),
                     rate=rate or NO_ARRIVALS,
                     move_lead_time=self._move_time + DISCOVERY_TIME,
                     busy_short_task_cores=self._busy_cores(name) - lasting.cores,
-                    short_task_cores=cores - lasting.cores,
+                    short_task_cores=cores - (lasting.cores - evacuated.cores),
                     demand_known=rate is not None or name in lasting_loads,
                 )
             )
         return loads
 
+    def _evacuated_load(self, pool: str) -> LongRunningLoad:
+        """Return what the long-running tasks of a pool hold in evacuated zones.
+
+        These VMs are not counted as present, and need not be replaced while the tasks
+        run there.
+        """
+        runs_by_vm = [
+            [run for run in link.runs_by_name.values() if run.task.step.spec.lasting]
+            for link in self._term.links_by_id.values()
+            if link.zone_evacuated and link.executor.service == pool
+        ]
+        millis = sum(
+            run.task.step.spec.executor_usage.cpu_millis
+            for runs in runs_by_vm
+            for run in runs
+        )
+        return LongRunningLoad(sum(map(bool, runs_by_vm)), millis / 1000)
+
     def _log_loads(self, loads: Sequence[PoolLoad], now: timedelta) -> None:
         if self._logged_at is not None and now < self._logged_at + LOAD_LOG_INTERVAL:
             return
@@ -288,10 +315,17 @@
         if vm.pool == move.pool:
             # The service would answer DONE without having ended anything on the VM.
             return
+        if not self._may_move(vm, move):
+            return
         self._orders.begin(vm, "move", move.pool, self._move_time)
         self._idle_since.pop(vm.name, None)
         self._term.spawn(None, self._order_move, vm, move)
 
+    def _may_move(self, vm: PoolVm, move: Move) -> bool:
+        """Tell whether a VM may join a pool; one in an evacuated zone only leaves."""
+        into_use = move.pool != self._standby_pool
+        return not into_use or self._zone_gate.may_start_in(vm.availability_zone)
+
     async def _order_move(self, vm: PoolVm, move: Move) -> None:
         self._decision_log.record(
             "move", vm.name, "ordered", origin=vm.pool, target=move.pool
@@ -299,6 +333,7 @@
         answer = await self._orders.send_until_answered(
             vm,
             lambda: self._service.move(vm.name, move.pool, self._holder, self._epoch),
+            lambda: self._may_move(vm, move),
         )
         if answer is None:
             return
--- a/src/pomeloyard/batch/vm_orders.py
+++ b/src/pomeloyard/batch/vm_orders.py
@@ -21,6 +21,10 @@
 log = logbook.Logger("pomeloyard.batch.vm_orders")
 
 
+def _always() -> bool:
+    return True
+
+
 @dataclass
 class VmOperation:
     """An operation on a VM that may have been requested."""
@@ -95,20 +99,26 @@
         return vm not in self.by_vm and not self._recent_orders.is_held_back(vm)
 
     async def send_until_answered(
-        self, vm: PoolVm, call: Callable[[], Awaitable[VmAnswer]]
+        self,
+        vm: PoolVm,
+        call: Callable[[], Awaitable[VmAnswer]],
+        may_begin: Callable[[], bool] = _always,
     ) -> VmAnswer | None:
         """Send a request until it is answered; return None if the term ends.
 
         The request is first recorded for the next holder of the role. Retries use the
         same fencing token and have no effect if the operation is done already. The
         disruption budgets are checked again before each attempt, as other tasks of the
-        same steps may have become unavailable meanwhile. If they are exceeded, the
-        result is HELD_BACK before the first attempt; later attempts wait.
+        same steps may have become unavailable meanwhile. If they are exceeded, or if
+        ``may_begin`` returns False, the result is HELD_BACK before the first attempt;
+        later attempts wait for the budgets.
         """
         if not await self._recent_orders.record(vm.name, self.by_vm):
             self._end_term("the epoch was replaced")
             return None
         may_have_been_sent = self.by_vm[vm.name].repeated
+        if not may_have_been_sent and not may_begin():
+            return VmAnswer.HELD_BACK
         while True:
             link = self._listing.link_of(vm)
             if link is not None and not self._disruption_budgets.may_disrupt_all(link):
--- a/src/pomeloyard/batch/vms.py
+++ b/src/pomeloyard/batch/vms.py
@@ -26,6 +26,7 @@
     executor_id: str
     """The current executor; "" if there is none."""
     rack: str = ""
+    availability_zone: str = ""
 
 
 class VmAnswer(Enum):
--- a/src/pomeloyard/batch/wave_runner.py
+++ b/src/pomeloyard/batch/wave_runner.py
@@ -222,7 +222,9 @@
             short_work=self._term.unsaved_short_work(link) if link else 0.0,
             may_be_down=link is None
             or self._term.disruption_budgets.may_disrupt_all(link),
-            pool_has_backlog=waiting.get(vm.pool, 0.0) > 0,
+            # A pool with a backlog does not miss a VM of an evacuated zone.
+            pool_has_backlog=waiting.get(vm.pool, 0.0) > 0
+            and not self._follower.zone_gate.is_evacuated(vm.availability_zone),
             draining_for=None if cordoned_at is None else now - cordoned_at,
             exceeds_disruption_budget=any(
                 _exceeds_disruption_budget(runs) for runs in lasting.values()
--- a/src/pomeloyard/errors.py
+++ b/src/pomeloyard/errors.py
@@ -25,6 +25,10 @@
     """A call to a peer was certainly not received."""
 
 
+class CallNotPermittedError(CallNotSentError):
+    """A call was not sent, as its condition no longer held right before sending."""
+
+
 class CallUnansweredError(PomeloyardError):
     """A call to a peer got no complete response; it may have taken effect."""
 
--- a/src/pomeloyard/platform/daemon.py
+++ b/src/pomeloyard/platform/daemon.py
@@ -79,7 +79,13 @@
             if settings.advice_address
             else None
         )
-        self._follower = ConfigurationFollower(clock, self._store, PlatformDocuments())
+        self._follower = ConfigurationFollower(
+            clock,
+            self._store,
+            PlatformDocuments(),
+            settings.evacuation_bound,
+            settings.zones,
+        )
         job_service = JobService(clock, self._store, self._follower)
         self._role = PlacingRole(self._new_term)
         self._metrics = BatchMetrics(
--- a/src/pomeloyard/platform/documents.py
+++ b/src/pomeloyard/platform/documents.py
@@ -115,6 +115,7 @@
     prefix = "op/"
     configuration_key = "op/config"
     wave_prefix = "op/wave/"
+    evacuation_prefix = "op/evacuate/"
 
     def configuration(self, content: bytes) -> Configuration:
         """Decode the configuration; raises DocumentError."""
@@ -168,6 +169,15 @@
             wave.maximum,
         )
 
+    def evacuated_zone(self, key: str) -> str | None:
+        """Return the zone that a key evacuates, or None for other keys.
+
+        The key alone counts, so that no unreadable value hides an evacuation.
+        """
+        if not key.startswith(self.evacuation_prefix):
+            return None
+        return key.removeprefix(self.evacuation_prefix)
+
 
 class RegistrationDocuments:
     """Registrations that executors write under ``servers/``."""
--- a/src/pomeloyard/platform/executors.py
+++ b/src/pomeloyard/platform/executors.py
@@ -60,7 +60,11 @@
         self._permitted = permitted
 
     async def start(
-        self, executor: Executor, order: StartOrder, timeout: timedelta
+        self,
+        executor: Executor,
+        order: StartOrder,
+        timeout: timedelta,
+        permitted: Callable[[], bool] = always_permitted,
     ) -> tuple[StartAnswer, timedelta | None]:
         """Order a start; return the result and the executor's clock if it sent one."""
         body: dict[str, object] = {
@@ -74,7 +78,7 @@
             body["saved"] = order.saved
         if order.ticket:
             body["ticket"] = order.ticket
-        response = await self._call(executor, "/run-start", body, timeout)
+        response = await self._call(executor, "/run-start", body, timeout, permitted)
         if response.status == 421:
             return StartAnswer.OTHER_INCARNATION, None
         if response.status in (400, 429, 503):
@@ -153,7 +157,12 @@
             _check_fence(executor, _decode(response, _StartResponse).reason)
 
     async def _call(
-        self, executor: Executor, path: str, body: object, timeout: timedelta
+        self,
+        executor: Executor,
+        path: str,
+        body: object,
+        timeout: timedelta,
+        permitted: Callable[[], bool] = always_permitted,
     ) -> Response:
         return await self._client.request(
             "POST",
@@ -162,7 +171,7 @@
             timeout,
             msgspec.json.encode(body),
             {INSTANCE_HEADER: executor.executor_id},
-            self._permitted,
+            lambda: self._permitted() and permitted(),
         )
 
 
--- a/src/pomeloyard/platform/http.py
+++ b/src/pomeloyard/platform/http.py
@@ -8,7 +8,11 @@
 
 import anyio
 
-from ..errors import CallNotSentError, CallUnansweredError
+from ..errors import (
+    CallNotPermittedError,
+    CallNotSentError,
+    CallUnansweredError,
+)
 from .connection import BadAnswerError, Connection, PeerClosedError, request_bytes
 
 CONNECT_TIMEOUT = timedelta(seconds=1)
@@ -185,7 +189,9 @@
                 started_at = await peer.acquire_slot()
                 connection = await peer.acquire_connection(connect_s)
                 if not permitted():
-                    raise CallNotSentError(f"{method} {target}: no longer permitted")
+                    raise CallNotPermittedError(
+                        f"{method} {target}: no longer permitted"
+                    )
                 status, content = await connection.call(request)
                 await peer.release_connection(connection)
                 connection = None
--- a/src/pomeloyard/platform/settings.py
+++ b/src/pomeloyard/platform/settings.py
@@ -48,6 +48,8 @@
     status_s: float = 120
     pace_ms: float = 100
     harm_ms: float = 4000
+    evac_ms: float = 5000
+    """Only where zones can be evacuated."""
 
 
 class _StoreSection(msgspec.Struct):
@@ -72,6 +74,8 @@
     bounds: _Bounds = msgspec.field(default_factory=_Bounds)
     cloud_api: _CloudApiSection | None = None
     advice: str | None = None
+    zones: dict[str, str] = {}
+    """Regions by the names of the availability zones."""
     port_range: tuple[int, int] = (7600, 7615)
     """First and last port for connections between daemons."""
 
@@ -82,6 +86,8 @@
 
     vm: str
     availability_zone: str
+    zones: frozenset[str]
+    """All availability zones of the deployment."""
     caller_address: str
     readiness_address: str
     metrics_address: str
@@ -94,6 +100,8 @@
     """Speed of this VM's core; 1.0 is one whole core."""
     config_bound: timedelta
     """Time limit for a new configuration to take effect."""
+    evacuation_bound: timedelta
+    """Time limit for the evacuation of an availability zone to take effect."""
     withdrawal_bound: timedelta
     """Time limit for a withdrawn key to be rejected."""
     stop_grace: timedelta
@@ -134,6 +142,7 @@
     return PlatformSettings(
         vm=file.node_name,
         availability_zone=file.zone,
+        zones=frozenset(file.zones),
         caller_address=file.listen_addrs.front,
         readiness_address=file.listen_addrs.ready_addr,
         metrics_address=f"{file.ip}:{METRICS_PORT}",
@@ -143,6 +152,7 @@
         advice_address=file.advice or "",
         core_speed=file.limits.cpu_share * file.limits.cores,
         config_bound=timedelta(milliseconds=bounds.config_ms),
+        evacuation_bound=timedelta(milliseconds=bounds.evac_ms),
         withdrawal_bound=timedelta(milliseconds=bounds.revoke_ms),
         stop_grace=timedelta(seconds=bounds.grace_s),
         max_lease=timedelta(milliseconds=bounds.hold_max_ms),
--- a/src/pomeloyard/platform/vms.py
+++ b/src/pomeloyard/platform/vms.py
@@ -33,6 +33,7 @@
     id: str | None = None
     """Id of the current executor, not of the machine."""
     labels: list[str] = []
+    zone: str = ""
 
 
 class _MachinePage(msgspec.Struct):
@@ -119,4 +120,11 @@
 def _vm(machine: _Machine) -> PoolVm:
     state = _STATE_BY_NAME.get(machine.state, VmState.DOWN)
     rack = machine.labels[-1] if machine.labels else ""
-    return PoolVm(machine.machine, machine.pool, state, machine.id or "", rack)
+    return PoolVm(
+        machine.machine,
+        machine.pool,
+        state,
+        machine.id or "",
+        rack,
+        machine.zone,
+    )
--- a/tests/support/batch_world.py
+++ b/tests/support/batch_world.py
@@ -14,6 +14,7 @@
 from pomeloyard.batch.advice import Advice, AdviceService
 from pomeloyard.batch.configuration_follower import ConfigurationFollower, DocumentError
 from pomeloyard.batch.decision_log import JobDecisionLog
+from pomeloyard.batch.evacuations import DEFAULT_EVACUATION_BOUND
 from pomeloyard.batch.executor_registry import ExecutorRegistry
 from pomeloyard.batch.executors import (
     EndedTask,
@@ -41,10 +42,12 @@
 from pomeloyard.batch.vms import PoolVm, VmAnswer, VmService, VmState
 from pomeloyard.clock import ManualClock
 from pomeloyard.errors import (
+    CallNotPermittedError,
     CallNotSentError,
     CallUnansweredError,
     StaleFenceError,
 )
+from pomeloyard.keyvalue.memory import MemoryStore
 from pomeloyard.keyvalue.store import Compare, Delete, Put, Transaction
 from pomeloyard.logs import LogWriter
 from pomeloyard.roles import HeldRole
@@ -88,6 +91,10 @@
             return None
         return msgspec.msgpack.decode(content, type=Wave)
 
+    def evacuated_zone(self, key):
+        prefix = "op/evacuate/"
+        return key.removeprefix(prefix) if key.startswith(prefix) else None
+
     def wave_status(self, wave_id, completed):
         return f"status/{wave_id}", b"completed" if completed else b"running"
 
@@ -115,13 +122,15 @@
 class FakeExecutor:
     """One executor; while ``silent`` its calls get no answer and have no effect."""
 
-    def __init__(self, clock, executor_id, cpu=4000, service="mill", rack="r1"):
+    def __init__(
+        self, clock, executor_id, cpu=4000, service="mill", rack="r1", zone="zone-1"
+    ):
         self.clock = clock
         self.executor = Executor(
             executor_id,
             f"{executor_id}:1",
             service,
-            "zone-1",
+            zone,
             Resources(cpu, 64_000, 0),
             ("plain", rack),
             False,
@@ -206,13 +215,16 @@
         fake.advance()
         return fake
 
-    async def start(self, executor, order, timeout):
+    async def start(self, executor, order, timeout, permitted):
+        if not permitted():
+            raise CallNotPermittedError("no longer permitted")
         self.world.check_assignment_durable(order, executor.executor_id)
         fake = self._connect(executor)
         if fake.starts_to_delay:
             fake.starts_to_delay -= 1
             fake.delayed_orders.append(order)
             raise CallUnansweredError("no answer")
+        self.world.check_zone(fake, order.task)
         answer = self.execute_order(fake, order)
         if fake.start_answers_to_lose:
             fake.start_answers_to_lose -= 1
@@ -342,7 +354,7 @@
 class World:
     """The environment of a placing term, with faults that tests inject."""
 
-    def __init__(self, executors=2, cpu=4000):
+    def __init__(self, executors=2, cpu=4000, zones=1):
         self.clock = ManualClock()
         self.store = FaultyStore(self.clock)
         self.done = set()
@@ -353,7 +365,13 @@
         writer = LogWriter(self.clock)
         self.decision_log = JobDecisionLog(self.clock, writer, "daemon-1")
         self.fake_executors = [
-            FakeExecutor(self.clock, f"e-{n}", cpu, rack=f"r{n % 2}")
+            FakeExecutor(
+                self.clock,
+                f"e-{n}",
+                cpu,
+                rack=f"r{n % 2}",
+                zone=f"zone-{n % zones + 1}",
+            )
             for n in range(executors)
         ]
         for fake in self.fake_executors:
@@ -364,6 +382,8 @@
         self.pending_registrations = []
         """Registrations to write, or to delete if the content is None."""
         self.lasting_tasks = 0
+        self.evacuated_at_by_zone = {}
+        """When the store confirmed each evacuation that is in force."""
         self.stopped_lasting_tasks = set()
         """Lasting tasks stopped by an order and not available again yet."""
         self.policy = None
@@ -394,6 +414,27 @@
                 )
             self.stopped_lasting_tasks.add(task)
 
+    async def evacuate(self, zone):
+        await self.put(f"op/evacuate/{zone}", b"{}")
+        self.evacuated_at_by_zone.setdefault(zone, self.clock.monotonic())
+
+    async def readmit(self, zone):
+        self.evacuated_at_by_zone.pop(zone, None)
+        key = f"op/evacuate/{zone}"
+        await self.store.commit(Transaction((), (Delete(key),)))
+
+    async def readmit_during_outage(self, zone):
+        """Readmit a zone while the daemons cannot reach the store."""
+        self.evacuated_at_by_zone.pop(zone, None)
+        change = Transaction((), (Delete(f"op/evacuate/{zone}"),))
+        await MemoryStore.commit(self.store, change)
+
+    def check_zone(self, fake, task):
+        """Check that nothing is started in a zone after the bound on evacuations."""
+        at = self.evacuated_at_by_zone.get(fake.executor.availability_zone)
+        if at is not None and self.clock.monotonic() > at + DEFAULT_EVACUATION_BOUND:
+            self.client.violations.append(f"{task} starts in an evacuated zone")
+
     def entry(self, key):
         return self.store._entries_by_key.get(key)
 
@@ -558,11 +599,23 @@
         self.ordered_at = defaultdict(list)
         for fake in world.fake_executors:
             vm = f"vm-{fake.executor.executor_id}"
+            executor = fake.executor
             self.vms[vm] = PoolVm(
-                vm, fake.executor.service, VmState.UP, fake.executor.executor_id
+                vm,
+                executor.service,
+                VmState.UP,
+                executor.executor_id,
+                availability_zone=executor.availability_zone,
             )
+        zones = sorted({f.executor.availability_zone for f in world.fake_executors})
         for number in range(standby):
-            self.vms[f"vm-s{number}"] = PoolVm(f"vm-s{number}", "spare", VmState.UP, "")
+            self.vms[f"vm-s{number}"] = PoolVm(
+                f"vm-s{number}",
+                "spare",
+                VmState.UP,
+                "",
+                availability_zone=zones[number % len(zones)],
+            )
 
     async def list(self):
         self._advance()
@@ -589,7 +642,9 @@
             self.vms[name] = replace(vm, state=VmState.UP, executor_id="")
             return
         executor_id = f"{name}-{len(self.maintained) + len(self.moves)}"
-        fake = FakeExecutor(self.world.clock, executor_id, service=vm.pool)
+        fake = FakeExecutor(
+            self.world.clock, executor_id, service=vm.pool, zone=vm.availability_zone
+        )
         self.world.client.by_id[executor_id] = fake
         self.world.fake_executors.append(fake)
         self.vms[name] = replace(vm, state=VmState.UP, executor_id=executor_id)
@@ -608,7 +663,7 @@
             self.world.pending_registrations.append(
                 (f"executors/{vm.executor_id}", None)
             )
-        self.vms[name] = PoolVm(name, pool, state, "")
+        self.vms[name] = replace(vm, pool=pool, state=state, executor_id="")
         self.available_at_by_vm[name] = (
             self.world.clock.monotonic() + self.OPERATION_TIME
         )
