--- a/src/pomeloyard/keyvalue/etcd.py
+++ b/src/pomeloyard/keyvalue/etcd.py
@@ -41,6 +41,11 @@
 
 CALL_TIMEOUT = timedelta(seconds=2)
 MAX_CALLS_IN_FLIGHT = 8
+SLOT_WAIT_SHARE = 0.5
+"""Longest wait for a free slot, as a share of the call time-out. It ends well before
+calls that began at the same time free their slots."""
+FIRST_SEND_EVENT = "http11.send_request_headers.started"
+"""Trace event of httpcore after which bytes of a request may have left."""
 WATCH_IDLE_SECONDS = 30.0
 """A watch that receives no data for this long fails and has to be reopened."""
 
@@ -175,29 +180,45 @@
     async def _call(
         self, path: str, body: Mapping[str, Any], decode: Callable[[Any], T]
     ) -> T:
-        sent = False
         try:
-            with anyio.fail_after(self._timeout):
-                async with self._in_flight:
-                    sent = True
-                    response = await self._pool.request(
-                        "POST",
-                        self._url + path,
-                        headers={"Content-Type": "application/json"},
-                        content=json.dumps(body).encode(),
-                        extensions={"timeout": {"connect": self._timeout / 2}},
-                    )
-        except (httpcore.ConnectError, httpcore.ConnectTimeout) as error:
+            with anyio.fail_after(self._timeout * SLOT_WAIT_SHARE):
+                await self._in_flight.acquire()
+        except TimeoutError as error:
             self.calls.failures += 1
-            raise StoreUnavailableError(f"{path}: {error!r}") from error
+            text = f"{path}: {MAX_CALLS_IN_FLIGHT} other calls are in flight"
+            raise StoreUnavailableError(text) from error
+        try:
+            response = await self._send(path, json.dumps(body).encode())
+        finally:
+            self._in_flight.release()
+        return _decode_answer(path, response, decode)
+
+    async def _send(self, path: str, content: bytes) -> httpcore.Response:
+        """Send a request; it has an unknown outcome once bytes may have left."""
+        sending = False
+
+        async def trace(event: str, info: Mapping[str, Any]) -> None:
+            nonlocal sending
+            sending = sending or event == FIRST_SEND_EVENT
+
+        try:
+            with anyio.fail_after(self._timeout):
+                return await self._pool.request(
+                    "POST",
+                    self._url + path,
+                    headers={"Content-Type": "application/json"},
+                    content=content,
+                    extensions={
+                        "timeout": {"connect": self._timeout / 2},
+                        "trace": trace,
+                    },
+                )
         except (TimeoutError, *_TRANSPORT_ERRORS) as error:
             self.calls.failures += 1
-            if not sent:
-                text = f"{path}: {MAX_CALLS_IN_FLIGHT} other calls are in flight"
-                raise StoreUnavailableError(text) from error
+            if not sending:
+                raise StoreUnavailableError(f"{path}: {error!r}") from error
             await self._close_idle()
             raise StoreOutcomeUnknownError(f"{path}: {error!r}") from error
-        return _decode_answer(path, response, decode)
 
     async def _close_idle(self) -> None:
         """Close idle connections, as they may hang like the one that failed."""
--- a/tests/test_store_contract.py
+++ b/tests/test_store_contract.py
@@ -364,6 +364,71 @@
     anyio.run(run)
 
 
+class StuckPool:
+    """Connection pool whose requests get stuck after some trace events."""
+
+    connections = ()
+
+    def __init__(self, *events):
+        self.events = events
+
+    async def request(self, method, url, *, headers, content, extensions):
+        for event in self.events:
+            await extensions["trace"](event, {})
+        await anyio.sleep_forever()
+
+
+@pytest.mark.parametrize(
+    ("events", "error"),
+    [
+        ((), StoreUnavailableError),
+        (("connection.connect_tcp.started",), StoreUnavailableError),
+        (
+            ("connection.connect_tcp.started", "http11.send_request_headers.started"),
+            StoreOutcomeUnknownError,
+        ),
+    ],
+)
+def test_a_call_counts_as_sent_only_once_bytes_may_have_left(events, error):
+    # A call that was still connecting at its time-out was reported as unknown, and its
+    # caller could not retry what had certainly not run.
+    async def run():
+        store = EtcdStore("http://127.0.0.1:1", timedelta(seconds=0.05))
+        store._pool = StuckPool(*events)
+        with pytest.raises(error):
+            await store.commit(put("a"))
+
+    anyio.run(run)
+
+
+def test_a_slot_that_becomes_free_late_does_not_let_a_waiting_call_begin():
+    # Waiting and being in flight had one time limit: a call that waited until the
+    # first ones timed out began with no time left, and its outcome was unknown.
+    async def run():
+        store = EtcdStore("http://127.0.0.1:1", timedelta(seconds=0.2))
+        store._pool = StuckPool("http11.send_request_headers.started")
+        errors = []
+
+        async def write(number):
+            try:
+                await store.commit(put(f"k{number}"))
+            except (StoreUnavailableError, StoreOutcomeUnknownError) as error:
+                errors.append(type(error))
+
+        async with anyio.create_task_group() as tasks:
+            for number in range(MAX_CALLS_IN_FLIGHT):
+                tasks.start_soon(write, number)
+            await anyio.wait_all_tasks_blocked()
+            tasks.start_soon(write, MAX_CALLS_IN_FLIGHT)
+            await anyio.wait_all_tasks_blocked()
+            # Blocks the loop, so that all time limits are due at once.
+            time.sleep(0.25)
+        assert errors.count(StoreUnavailableError) == 1
+        assert errors.count(StoreOutcomeUnknownError) == MAX_CALLS_IN_FLIGHT
+
+    anyio.run(run)
+
+
 MALFORMED = [
     (200, b""),
     (200, b"not json"),
