--- a/src/pomeloyard/batch/disruption.py
+++ b/src/pomeloyard/batch/disruption.py
@@ -58,6 +58,7 @@
             and not link.ordered_by_this_term
             and placed is not None
             and placed.phase is Phase.RUNNING
+            and not placed.may_be_stopping
             and placed.percent >= 100
         )
 
--- a/src/pomeloyard/batch/executor_link.py
+++ b/src/pomeloyard/batch/executor_link.py
@@ -60,6 +60,8 @@
 MAX_REPORT_AGE = timedelta(seconds=0.3)
 """Ends are only acknowledged this soon after a report. In a longer time the executor
 may have restarted, run a task to its end and numbered that end from 1 again."""
+MAX_STOP_TIME = timedelta(seconds=1)
+"""A task ends within 0.9 s of its stop, by a clock that may run slow."""
 SUSPECT_POLL_TIMEOUT = timedelta(seconds=0.5)
 """Poll time-out for an executor whose VM is listed as down."""
 
@@ -85,6 +87,7 @@
         "acknowledged_at",
         "fence",
         "gauge",
+        "may_be_stopping",
         "moved_at",
         "ordered_at",
         "pace",
@@ -112,6 +115,8 @@
         self.ordered_at: timedelta | None = None
         self.unsure = False
         """Whether its start got no answer and no poll has listed the run since."""
+        self.may_be_stopping = False
+        """Whether an earlier term may have ordered its stop."""
         self.percent = 0
         self.gauge = 0
         self.moved_at: timedelta | None = None
@@ -218,6 +223,8 @@
         self._unacknowledged_job_ids: set[str] = set()
         """Ids of the jobs with task ends that are not acknowledged yet."""
         self._reported_at: timedelta | None = None
+        self._first_reported_at: timedelta | None = None
+        """From then on the executor rejects the orders of earlier terms."""
         self._clock_offset: timedelta | None = None
         """Upper bound of the executor's clock minus the local clock."""
         self._last_lease_at = clock.monotonic()
@@ -366,6 +373,8 @@
         )
         now = self._clock.monotonic()
         self._reported_at = now
+        if self._first_reported_at is None:
+            self._first_reported_at = now
         self._clock_offset = report.clock - now
         self._failed_polls = 0
         self.unreachable_since = None
@@ -429,7 +438,7 @@
             if placed.phase in (Phase.UNCONFIRMED, Phase.STOPPING):
                 longest = SHORT_POLL_WAIT
             spec = placed.task.step.spec
-            if spec.lasting and placed.percent < 100:
+            if spec.lasting and (placed.percent < 100 or placed.may_be_stopping):
                 # Other tasks of its step may be disrupted only once it is ready.
                 longest = SHORT_POLL_WAIT
             serving = serving or spec.target_tail_ms > 0
@@ -448,7 +457,7 @@
         for name, placed in list(self.runs_by_name.items()):
             row = listed.get(name)
             if row is not None and row.run == placed.run:
-                self._apply_running(placed, row, now)
+                self._apply_running(placed, row, asked_at, now)
             elif not report.ended_truncated:
                 self._apply_missing(placed, asked_at)
         self.unassigned_runs = {
@@ -477,9 +486,13 @@
         self._handler.handle_run_end(self, placed, end.kind, end.saved)
 
     def _apply_running(
-        self, placed: PlacedRun, row: RunningTask, now: timedelta
+        self, placed: PlacedRun, row: RunningTask, asked_at: timedelta, now: timedelta
     ) -> None:
         placed.unsure = False
+        first = self._first_reported_at
+        if first is not None and asked_at >= first + MAX_STOP_TIME:
+            # A stop that arrived before the first report would have ended it.
+            placed.may_be_stopping = False
         if placed.phase in (Phase.START_SENT, Phase.UNCONFIRMED, Phase.ASSIGNED):
             placed.phase = Phase.RUNNING
         if placed.acknowledged_at is None:
--- a/src/pomeloyard/batch/placing_term.py
+++ b/src/pomeloyard/batch/placing_term.py
@@ -311,6 +311,7 @@
         # Neither its start time nor whether the start was answered is stored.
         placed.partial = True
         placed.unsure = True
+        placed.may_be_stopping = True
         placed.ordered_at = task.started_at
         link.assign(placed)
         if task.step.job.final:
--- a/tests/support/batch_world.py
+++ b/tests/support/batch_world.py
@@ -117,6 +117,7 @@
         self.duration = duration
         self.ends_at = started + duration
         self.lease_until = lease_until
+        self.stops_at = None
 
 
 class FakeExecutor:
@@ -147,6 +148,8 @@
         """Number of next polls that get no answer."""
         self.fails = False
         self.stalls = False
+        self.stop_time = timedelta(0)
+        """How long a stop takes; the run stays listed meanwhile."""
         self.restart()
 
     def restart(self):
@@ -185,7 +188,9 @@
 
     def advance(self):
         for task, run in list(self.runs.items()):
-            if self.now() >= run.lease_until:
+            if run.stops_at is not None and self.now() >= run.stops_at:
+                self.end(task, EndKind.STOPPED)
+            elif self.now() >= run.lease_until:
                 self.end(task, EndKind.LEASE_EXPIRED)
             elif self.now() >= run.ends_at and not self.stalls:
                 self.end(task, EndKind.FAILED if self.fails else EndKind.DONE)
@@ -275,11 +280,13 @@
         fake = self._connect(executor)
         fake.check_fence(fence)
         self.stopped.append((task, run))
-        if task in fake.runs and fake.runs[task].run == run:
-            self.world.record_stopped_tasks(fake, [task])
         fake.highest_run_by_task[task] = max(fake.highest_run_by_task.get(task, 0), run)
-        if task in fake.runs and fake.runs[task].run == run:
-            fake.end(task, EndKind.STOPPED)
+        running = fake.runs.get(task)
+        if running is None or running.run != run or running.stops_at is not None:
+            return
+        self.world.record_stopped_tasks(fake, [task])
+        running.stops_at = fake.now() + fake.stop_time
+        fake.advance()
 
     async def poll(self, executor, *, fence, acknowledged, lease_until, wait, timeout):
         self.polls += 1
@@ -397,7 +404,11 @@
     def record_stopped_tasks(self, fake, tasks):
         """Check that a lasting step has no more unavailable tasks than allowed."""
         for other in self.fake_executors:
-            at_work = {task for task in other.runs if other.percent(task) >= 100}
+            at_work = {
+                task
+                for task, run in other.runs.items()
+                if other.percent(task) >= 100 and run.stops_at is None
+            }
             self.stopped_lasting_tasks -= at_work
         final = (JobState.CANCELLED, JobState.FAILED)
         for task in tasks:
--- a/tests/test_policy_rules.py
+++ b/tests/test_policy_rules.py
@@ -162,6 +162,36 @@
         assert await world.run_for(20, lambda: vms.maintained == [("vm-e-0", 1)])
 
 
+async def test_a_stop_of_the_last_term_counts_until_it_has_ended():
+    # A stop takes up to 0.9 s, and the task stays listed as at work meanwhile. A new
+    # term took it for available and maintained the VM of another task of its step.
+    world = World(executors=4)
+    vms = world.manage_vms()
+    async with AsyncExitStack() as terms:
+        first = await terms.enter_async_context(world.running())
+        await world.submit("a1", StepSpec(3, 500, 100, lasting=True, may_be_away=1))
+        await world.run_for(3)
+        for fake in world.fake_executors:
+            fake.stop_time = timedelta(seconds=0.9)
+        link, other = (
+            link
+            for link in first.links_by_id.values()
+            if any(run.task.step.spec.lasting for run in link.runs_by_name.values())
+        )
+        assert link.stop(next(iter(link.runs_by_name.values())))
+        await settle()
+        first._ended.set()
+        await settle()
+        await terms.enter_async_context(world.term())
+        other_vm = next(
+            vm.name
+            for vm in vms.vms.values()
+            if vm.executor_id == other.executor.executor_id
+        )
+        await world.put("op/wave/1", Wave(1, (other_vm,), timedelta(seconds=8), 1))
+        assert await world.run_for(20, lambda: vms.maintained == [(other_vm, 1)])
+
+
 async def test_maintenance_is_held_back_if_another_task_became_unavailable():
     # The order is first written to the store. Meanwhile another task becomes
     # unavailable, which uses up the limit of the step.
