--- a/src/pomeloyard/batch/disruption.py
+++ b/src/pomeloyard/batch/disruption.py
@@ -20,9 +20,11 @@
     def __init__(self, links_by_id: Mapping[str, ExecutorLink]) -> None:
         self._links_by_id = links_by_id
 
-    def may_disrupt_all(self, link: ExecutorLink) -> bool:
-        """Tell whether all runs on an executor may be stopped at once."""
-        return self.may_disrupt(link.runs_by_name.values())
+    def may_disrupt_all(self, *links: ExecutorLink) -> bool:
+        """Tell whether all runs on some executors may be stopped at once."""
+        return self.may_disrupt(
+            [run for link in links for run in link.runs_by_name.values()]
+        )
 
     def may_disrupt(self, runs: Collection[PlacedRun]) -> bool:
         """Tell whether some runs may be stopped together.
--- a/src/pomeloyard/batch/executor_link.py
+++ b/src/pomeloyard/batch/executor_link.py
@@ -465,7 +465,7 @@
             for row in report.running
             if (mine := self.runs_by_name.get(row.task)) is None or mine.run != row.run
         }
-        for task, run in self.unassigned_runs:
+        for task, run in sorted(self.unassigned_runs):
             log.warning(
                 "executor {} runs {} run {}, which is not assigned to it",
                 self.executor.executor_id,
--- a/src/pomeloyard/batch/executors.py
+++ b/src/pomeloyard/batch/executors.py
@@ -26,6 +26,8 @@
     draining: bool
     incarnation: int
     rack: str = ""
+    vm: str = ""
+    """Name of its VM; "" if it is only known from the list of VMs."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/pomeloyard/batch/planner.py
+++ b/src/pomeloyard/batch/planner.py
@@ -114,7 +114,8 @@
             self._group_by_service()
             if self._advisor is not None:
                 self._advisor.clear_queue()
-        for service in self._links_by_service if services is None else services:
+        # Sorted, so that a replay with the same seed decides alike.
+        for service in sorted(self._links_by_service if services is None else services):
             waiting = self._waiting_by_service.get(service)
             if not waiting:
                 continue
--- a/src/pomeloyard/batch/vm_listing.py
+++ b/src/pomeloyard/batch/vm_listing.py
@@ -58,6 +58,18 @@
         """Return the link of a VM's current executor."""
         return self._links_by_id.get(vm.executor_id) if vm is not None else None
 
+    def links_on(self, vm: PoolVm) -> list[ExecutorLink]:
+        """Return the links of all executors that may run on a VM.
+
+        The list may still name the executor from before an operation, on which nothing
+        runs any more; registrations show the next one sooner.
+        """
+        return [
+            link
+            for executor_id, link in self._links_by_id.items()
+            if executor_id == vm.executor_id or link.executor.vm == vm.name
+        ]
+
     async def read(self) -> timedelta:
         """Read the list; return the time of the request."""
         asked_at = self._clock.monotonic()
--- a/src/pomeloyard/batch/vm_orders.py
+++ b/src/pomeloyard/batch/vm_orders.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Awaitable, Callable
+from collections.abc import Awaitable, Callable, Iterable
 from dataclasses import dataclass
 from datetime import timedelta
 
@@ -11,6 +11,7 @@
 from ..clock import Clock
 from ..errors import CallNotSentError, CallUnansweredError, StaleFenceError
 from .disruption import DisruptionBudgets
+from .executor_link import ExecutorLink
 from .recent_orders import RecentOrders
 from .vm_listing import VmListing
 from .vms import PoolVm, VmAnswer, VmState
@@ -25,6 +26,12 @@
     return True
 
 
+def _release(links: Iterable[ExecutorLink]) -> None:
+    """Let tasks be placed again on executors whose VM keeps running."""
+    for link in links:
+        link.operation_ordered = link.ordered_by_this_term = False
+
+
 @dataclass
 class VmOperation:
     """An operation on a VM that may have been requested."""
@@ -33,6 +40,8 @@
     target: str
     executor_id: str
     duration: timedelta
+    links: tuple[ExecutorLink, ...] = ()
+    """Links of all executors that might run on the VM when the operation began."""
     repeated: bool = False
     """Whether an earlier term may have requested it. It may then be done already, and
     the repeated request has no effect on the VM."""
@@ -67,11 +76,11 @@
         repeated: bool = False,
     ) -> None:
         """Register an operation that may be requested; its VM gets no new runs."""
+        links = tuple(self._listing.links_on(vm))
         self.by_vm[vm.name] = VmOperation(
-            kind, target, vm.executor_id, duration, repeated
+            kind, target, vm.executor_id, duration, links, repeated
         )
-        link = self._listing.link_of(vm)
-        if link is not None:
+        for link in links:
             link.operation_ordered = True
             link.ordered_by_this_term = not repeated
 
@@ -89,10 +98,9 @@
 
     def abandon(self, vm: PoolVm) -> None:
         """Remove an operation that did not take effect."""
-        self.by_vm.pop(vm.name, None)
-        link = self._listing.link_of(vm)
-        if link is not None:
-            link.operation_ordered = link.ordered_by_this_term = False
+        operation = self.by_vm.pop(vm.name, None)
+        if operation is not None:
+            _release(operation.links)
 
     def may_order(self, vm: str) -> bool:
         """Tell whether a VM has no operation in progress and is not held back."""
@@ -120,13 +128,13 @@
         if not may_have_been_sent and not may_begin():
             return VmAnswer.HELD_BACK
         while True:
-            link = self._listing.link_of(vm)
-            if link is not None and not self._disruption_budgets.may_disrupt_all(link):
+            links = self.by_vm[vm.name].links
+            if not self._disruption_budgets.may_disrupt_all(*links):
                 if not may_have_been_sent:
                     return VmAnswer.HELD_BACK
                 await self._clock.sleep(RETRY_DELAY)
                 continue
-            if link is not None:
+            for link in links:
                 link.ordered_by_this_term = True
             may_have_been_sent = True
             self._recent_orders.note_order(vm.name)
@@ -160,6 +168,11 @@
             )
             if restarted or without_executor:
                 del self.by_vm[name]
+                _release(
+                    link
+                    for link in operation.links
+                    if link.executor.executor_id != operation.executor_id
+                )
             elif operation.repeated and vm is not None and vm.state is VmState.UP:
                 # The operation was done before this term, as the executor has not
                 # changed since.
--- a/src/pomeloyard/batch/wave_runner.py
+++ b/src/pomeloyard/batch/wave_runner.py
@@ -189,8 +189,8 @@
         for name in choice.maintain[: max(0, slots)]:
             # Each VM that goes down leaves less disruption budget for the next ones.
             vm = self._listing.vms_by_name[name]
-            link = self._listing.link_of(vm)
-            if link is None or self._term.disruption_budgets.may_disrupt_all(link):
+            links = self._listing.links_on(vm)
+            if self._term.disruption_budgets.may_disrupt_all(*links):
                 self._begin_maintenance(active, vm)
         self._cordon(active, {*choice.maintain, *choice.drain}, now)
         for name in wave.vms:
--- a/src/pomeloyard/platform/documents.py
+++ b/src/pomeloyard/platform/documents.py
@@ -97,6 +97,7 @@
     labels: list[str]
     """The kind of VM first, the rack last."""
     sequence: int
+    machine: str = ""
     born: int = 0
     """Start time in Unix milliseconds, which identifies the incarnation."""
 
@@ -202,6 +203,7 @@
             draining=entry.state == "draining",
             incarnation=entry.born,
             rack=entry.labels[-1] if entry.labels else "",
+            vm=entry.machine,
         )
 
 
--- a/tests/support/batch_world.py
+++ b/tests/support/batch_world.py
@@ -306,6 +306,7 @@
             incarnation = fake.incarnation if fake is not None else None
             if fake is not None and fake.silent:
                 await self.clock.sleep(times_out_at - self.clock.monotonic())
+                raise CallUnansweredError("silent")
             fake = self._connect(executor)
             fake.check_fence(fence)
             for end in fake.ended:
@@ -391,6 +392,8 @@
         self.lasting_tasks = 0
         self.evacuated_at_by_zone = {}
         """When the store confirmed each evacuation that is in force."""
+        self.stop_time = timedelta(0)
+        """How long stops take at executors that join later."""
         self.stopped_lasting_tasks = set()
         """Lasting tasks stopped by an order and not available again yet."""
         self.policy = None
@@ -401,15 +404,19 @@
         job, _, step, _ = task.split(".")
         return self.specs_by_job[job].steps[int(step)].cpu_millis
 
-    def record_stopped_tasks(self, fake, tasks):
-        """Check that a lasting step has no more unavailable tasks than allowed."""
-        for other in self.fake_executors:
-            at_work = {
+    def _record_tasks_at_work(self):
+        for fake in self.fake_executors:
+            self.stopped_lasting_tasks -= {
                 task
-                for task, run in other.runs.items()
-                if other.percent(task) >= 100 and run.stops_at is None
+                for task, run in fake.runs.items()
+                if task.split(".")[0] in self.client.lasting
+                and fake.percent(task) >= 100
+                and run.stops_at is None
             }
-            self.stopped_lasting_tasks -= at_work
+
+    def record_stopped_tasks(self, fake, tasks):
+        """Check that a lasting step has no more unavailable tasks than allowed."""
+        self._record_tasks_at_work()
         final = (JobState.CANCELLED, JobState.FAILED)
         for task in tasks:
             job, _, number, _ = task.split(".")
@@ -557,6 +564,7 @@
                 await self.store.commit(Transaction((), (change,)))
             if until is not None and until():
                 return True
+            self._record_tasks_at_work()
             self.clock.advance(STEP)
         await settle(40)
         return until is not None and until()
@@ -590,14 +598,24 @@
     """VMs of the fake executors; an operation gives a VM a new executor."""
 
     OPERATION_TIME = timedelta(seconds=2)
+    OPERATION_DELAY = timedelta(seconds=0.3)
 
     def __init__(self, world, standby=0):
         self.world = world
         self.vms = {}
         self.available_at_by_vm = {}
-        self.fence = 0
+        self.fence_by_vm = {}
+        """Highest fencing token that was used for each VM."""
+        self.returns = 0
         self.lost_answers = 0
         """Number of next operations that take effect but get no answer."""
+        self.operations_to_delay = 0
+        """Number of next operations that get no answer and take effect later."""
+        self.delayed_operations = []
+        """Time and arguments of each operation that is still to take effect."""
+        self.list_lag = timedelta(0)
+        """Age of what the list shows."""
+        self._snapshots = []
         self.unlisted_vms = set()
         """VMs that are missing from the list."""
         self.maintained = []
@@ -610,7 +628,7 @@
         self.ordered_at = defaultdict(list)
         for fake in world.fake_executors:
             vm = f"vm-{fake.executor.executor_id}"
-            executor = fake.executor
+            executor = fake.executor = replace(fake.executor, vm=vm)
             self.vms[vm] = PoolVm(
                 vm,
                 executor.service,
@@ -629,9 +647,13 @@
             )
 
     async def list(self):
-        self._advance()
+        self.advance()
         await anyio.lowlevel.checkpoint()
-        return tuple(vm for vm in self.vms.values() if vm.name not in self.unlisted_vms)
+        now = self.world.clock.monotonic()
+        self._snapshots.append((now, tuple(self.vms.values())))
+        old_enough = [vms for at, vms in self._snapshots if at <= now - self.list_lag]
+        vms = old_enough[-1] if old_enough else self._snapshots[0][1]
+        return tuple(vm for vm in vms if vm.name not in self.unlisted_vms)
 
     def crash(self, executor_id):
         """Make an executor silent and list its VM as down."""
@@ -641,7 +663,19 @@
         vm = next(v for v in self.vms.values() if v.executor_id == executor_id)
         self.vms[vm.name] = replace(vm, state=VmState.DOWN, executor_id="")
 
-    def _advance(self):
+    def advance(self):
+        """Carry out what is due, as the world's time moves on."""
+        now = self.world.clock.monotonic()
+        due = [one for one in self.delayed_operations if one[0] <= now]
+        self.delayed_operations = [
+            one for one in self.delayed_operations if one[0] > now
+        ]
+        for _, vm, pool, state, fence in due:
+            up = self.vms[vm].state is VmState.UP
+            if up and fence >= self.fence_by_vm.get(vm, 0):
+                self._detach_executor(vm, pool, state)
+            elif state is VmState.IN_MAINTENANCE:
+                self.maintained = [one for one in self.maintained if one[0] != vm]
         for name, at in list(self.available_at_by_vm.items()):
             if self.world.clock.monotonic() >= at:
                 del self.available_at_by_vm[name]
@@ -652,10 +686,13 @@
         if vm.pool == "spare":
             self.vms[name] = replace(vm, state=VmState.UP, executor_id="")
             return
-        executor_id = f"{name}-{len(self.maintained) + len(self.moves)}"
+        self.returns += 1
+        executor_id = f"{name}-{self.returns}"
         fake = FakeExecutor(
             self.world.clock, executor_id, service=vm.pool, zone=vm.availability_zone
         )
+        fake.executor = replace(fake.executor, vm=name)
+        fake.stop_time = self.world.stop_time
         self.world.client.by_id[executor_id] = fake
         self.world.fake_executors.append(fake)
         self.vms[name] = replace(vm, state=VmState.UP, executor_id=executor_id)
@@ -680,17 +717,27 @@
         )
 
     async def _check_order(self, fence, vm):
+        self.advance()
         now = self.world.clock.monotonic()
         before, at = self.last_order_by_vm.get(vm, (fence, now))
         if before != fence and now < at + timedelta(seconds=3):
             self.conflicting_orders.append((vm, before, fence))
         self.last_order_by_vm[vm] = (fence, now)
         self.ordered_at[vm].append(now)
-        if fence < self.fence:
+        if fence < self.fence_by_vm.get(vm, 0):
             raise StaleFenceError("stale")
-        self.fence = fence
+        self.fence_by_vm[vm] = fence
         await anyio.lowlevel.checkpoint()
 
+    def _delays(self, vm, pool, state, fence):
+        """Tell whether an operation is delayed, and schedule it if so."""
+        if not self.operations_to_delay:
+            return False
+        self.operations_to_delay -= 1
+        at = self.world.clock.monotonic() + self.OPERATION_DELAY
+        self.delayed_operations.append((at, vm, pool, state, fence))
+        return True
+
     async def _answer(self):
         if self.lost_answers:
             self.lost_answers -= 1
@@ -706,6 +753,9 @@
         if self.vms[vm].state is not VmState.UP:
             return VmAnswer.BUSY
         self.maintained.append((vm, wave))
+        pool = self.vms[vm].pool
+        if self._delays(vm, pool, VmState.IN_MAINTENANCE, fence):
+            raise CallUnansweredError("no answer")
         self._detach_executor(vm, self.vms[vm].pool, VmState.IN_MAINTENANCE)
         self.down_at_once = max(self.down_at_once, len(self.available_at_by_vm))
         away = self.world.lasting_tasks - sum(
@@ -723,5 +773,7 @@
         if self.vms[vm].state is not VmState.UP:
             return VmAnswer.BUSY
         self.moves.append((vm, pool))
+        if self._delays(vm, pool, VmState.MOVING, fence):
+            raise CallUnansweredError("no answer")
         self._detach_executor(vm, pool, VmState.MOVING)
         return await self._answer()
