--- a/src/pomeloyard/batch/job_history.py
+++ b/src/pomeloyard/batch/job_history.py
@@ -83,7 +83,9 @@
     context = [
         line
         for line in lines
-        if begin <= line.at <= end
+        if line.at <= end
+        # An evacuation may have begun long before.
+        and (line.at >= begin or line.decision == "zone")
         and not line.is_about(job_id)
         and _is_relevant(line, executors, daemons)
     ]
@@ -110,7 +112,7 @@
 
 def _is_relevant(line: LogLine, executors: set[str], daemons: set[str]) -> bool:
     if line.decision:
-        return line.decision == "role" or bool(
+        return line.decision in ("role", "zone") or bool(
             executors & {line.subject, str(line.inputs.get("executor", ""))}
             and line.decision in ("executor", "upkeep")
         )
@@ -171,6 +173,18 @@
         return []
     accepted_at = first.at - timedelta(milliseconds=waited_ms)
     text = f"it waited {waited_ms / 1000:.1f} s for its first assignment"
+    evacuated = sorted(
+        {
+            line.subject
+            for line in lines
+            if line.decision == "zone"
+            and line.outcome == "evacuated"
+            and line.at <= first.at
+            and not _readmitted(line, lines, accepted_at)
+        }
+    )
+    if evacuated:
+        text += f"; zone evacuated: {', '.join(evacuated)}"
     takeovers = [
         line
         for line in lines
@@ -184,6 +198,19 @@
     return [text]
 
 
+def _readmitted(
+    evacuation: LogLine, lines: Sequence[LogLine], before: datetime
+) -> bool:
+    """Tell whether an evacuated zone was readmitted before a time."""
+    return any(
+        line.decision == "zone"
+        and line.subject == evacuation.subject
+        and line.outcome == "readmitted"
+        and evacuation.at <= line.at <= before
+        for line in lines
+    )
+
+
 def _lost_run_causes(
     job_lines: Sequence[LogLine], lines: Sequence[LogLine]
 ) -> list[str]:
--- a/src/pomeloyard/cli/explain.py
+++ b/src/pomeloyard/cli/explain.py
@@ -10,7 +10,7 @@
 from ..operators.client import OperatorClient
 from .output import JSON, note, output_format, show
 
-KINDS = ["vm", "wave", "service", "key", "membership", "job"]
+KINDS = ["vm", "wave", "service", "key", "membership", "job", "zone"]
 COLUMNS = ("at", "kind", "choice", "reason", "daemon", "inputs", "candidates")
 
 
@@ -21,8 +21,8 @@
 def explain(client: OperatorClient, kind: str, name: str) -> None:
     """Show the decisions of all daemons about a subject, oldest first.
 
-    NAME is the VM, service, key id, wave id or job id; for membership it is the
-    VM of the daemon that gained or lost partitions.
+    NAME is the VM, service, key id, wave id, job id or availability zone; for
+    membership it is the VM of the daemon that gained or lost partitions.
 
     \b
     Examples:
--- a/src/pomeloyard/cli/main.py
+++ b/src/pomeloyard/cli/main.py
@@ -23,6 +23,7 @@
 from .teams import share, team
 from .vms import vm
 from .waves import wave
+from .zones import zone
 
 
 class ToolGroup(click.Group):
@@ -109,7 +110,21 @@
     context.call_on_close(session.close)
 
 
-for group in (budget, config, fleet, job, key_group, log, pool, share, team, vm, wave):
+GROUPS = (
+    budget,
+    config,
+    fleet,
+    job,
+    key_group,
+    log,
+    pool,
+    share,
+    team,
+    vm,
+    wave,
+    zone,
+)
+for group in GROUPS:
     cli.add_command(group)
 cli.add_command(explain)
 
--- a/src/pomeloyard/daemon.py
+++ b/src/pomeloyard/daemon.py
@@ -32,6 +32,7 @@
 from .fleet.drains import JobTaskCounts
 from .fleet.health_reports import HealthReports
 from .fleet.health_sources import WorkerObserver, record_executor_outcome
+from .fleet.zones import ZoneService
 from .fleet_state import DaemonRecord, FleetState
 from .follower import FleetFollower
 from .heartbeats import PeerHeartbeats
@@ -357,6 +358,7 @@
             jobs=self.jobs,
             decisions=self.decisions,
             keys=self.keys,
+            zones=ZoneService(self.clock, self.store, self.state, self.decisions),
             daemon_statuses=lambda: self.heartbeats.statuses(
                 self.state, self.incarnation, self._heartbeat()
             ),
--- a/src/pomeloyard/decisions.py
+++ b/src/pomeloyard/decisions.py
@@ -30,6 +30,7 @@
     PUBLISH = "publish"
     KEY = "key"
     MEMBERSHIP = "membership"
+    ZONE = "zone"
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/pomeloyard/fleet/buffers.py
+++ b/src/pomeloyard/fleet/buffers.py
@@ -163,11 +163,13 @@
         """
         config = self._records.state.config.pools_by_name.get(pool)
         spare = config is not None and config.spare
-        vms = self._records.state.vm_records_by_name
+        state = self._records.state
+        listed = state.vm_list.vms_by_name
         return [
             vm
-            for _, vm in sorted(vms.items())
-            if vm.pool == pool
+            for name, vm in sorted(state.vm_records_by_name.items())
+            if not (name in listed and state.is_evacuated(listed[name]))
+            and vm.pool == pool
             and vm.role is VmRole.EXECUTOR
             and vm.state is VmState.IN_SERVICE
             and (spare or vm.home_pool)
--- a/src/pomeloyard/fleet_state.py
+++ b/src/pomeloyard/fleet_state.py
@@ -32,6 +32,24 @@
     epoch: int
 
 
+@dataclass(frozen=True, slots=True)
+class Evacuation:
+    """Request that nothing new be sent to an availability zone."""
+
+    requested_at: str
+    """ISO 8601 time."""
+    requested_by: str
+    """Id of the operator's key."""
+
+
+@dataclass(frozen=True, slots=True)
+class EvacuatedZones:
+    """All evacuations in force; a higher version replaces a lower one."""
+
+    version: int = 0
+    by_zone: dict[str, Evacuation] = field(default_factory=dict)
+
+
 @dataclass
 class FleetState:
     """State that a daemon replicates; changed only by the follower and by peers."""
@@ -47,6 +65,7 @@
     vm_records_by_name: dict[str, VmRecord] = field(default_factory=dict)
     vm_list: VmList = field(default_factory=lambda: VmList({}, 0))
     roles_by_name: dict[str, RoleRecord] = field(default_factory=dict)
+    evacuated_zones: EvacuatedZones = field(default_factory=EvacuatedZones)
     store_reachable: bool = False
     failed_authentications: Counter[str] = field(default_factory=Counter)
     """Refused authentications since the start, by reason."""
@@ -77,8 +96,16 @@
         record = self.vm_records_by_name.get(vm.name)
         return record.pool if record is not None else vm.pool
 
+    def is_evacuated(self, vm: Vm) -> bool:
+        """Tell whether a VM is in an evacuated availability zone."""
+        return vm.availability_zone in self.evacuated_zones.by_zone
+
     def accepts_work(self, vm: Vm) -> bool:
         """Tell whether new work may be sent to a VM."""
+        return not self.is_evacuated(vm) and self.is_in_service(vm)
+
+    def is_in_service(self, vm: Vm) -> bool:
+        """Tell whether a VM is neither drained nor leaving; its work may continue."""
         record = self.vm_records_by_name.get(vm.name)
         if record is not None:
             if not record.accepts_work():
--- a/src/pomeloyard/follower.py
+++ b/src/pomeloyard/follower.py
@@ -16,7 +16,7 @@
 from .config.model import FleetConfig
 from .errors import CompactedError, StoreError
 from .fleet.vms import VmRecord
-from .fleet_state import DaemonRecord, FleetState, RoleRecord
+from .fleet_state import DaemonRecord, EvacuatedZones, FleetState, RoleRecord
 from .keys import KeyRing
 from .keyvalue import layout
 from .keyvalue.records import RecordError, decode_record, read_record
@@ -148,15 +148,19 @@
                 self.notify_changed()
 
     async def _check(self) -> None:
-        """Return when the watch missed a change of the configuration or the keys."""
+        """Return when the watch missed a change that must not wait for it.
+
+        These are the configuration, the evacuated zones and the keys.
+        """
         while True:
             await self._clock.sleep(CHECK_INTERVAL * random.uniform(0.8, 1.2))
             missed = False
-            for key in (layout.CONFIG_HEAD, layout.KEYS):
-                entry = await self._store.get(key)
-                if entry is not None and self._is_newer(key, entry.mod_revision):
+            page = await self._store.scan(layout.CONFIG_PREFIX)
+            keys = await self._store.get(layout.KEYS)
+            for entry in (*page.entries, *((keys,) if keys is not None else ())):
+                if self._is_newer(entry.key, entry.mod_revision):
                     missed = True
-                    await self._apply(key, entry, entry.mod_revision)
+                    await self._apply(entry.key, entry, entry.mod_revision)
             if missed:
                 self.notify_changed()
                 log.info("watch missed a change; opening it again")
@@ -183,6 +187,8 @@
             await self._adopt_config(decode_record(entry, int).value)
         elif key == layout.KEYS and entry is not None:
             adopt_keys(state, decode_record(entry, KeyRing).value)
+        elif key == layout.EVACUATIONS and entry is not None:
+            adopt_evacuations(state, decode_record(entry, EvacuatedZones).value)
         elif key == layout.PARTITIONS and entry is not None:
             table = decode_record(entry, PartitionTable).value
             adopt_partitions(state, table, entry.mod_revision)
@@ -231,6 +237,15 @@
     return True
 
 
+def adopt_evacuations(state: FleetState, zones: EvacuatedZones) -> bool:
+    """Adopt evacuated zones if their version is higher than the current one."""
+    if zones.version <= state.evacuated_zones.version:
+        return False
+    state.evacuated_zones = zones
+    log.info("evacuated availability zones: {}", ", ".join(sorted(zones.by_zone)))
+    return True
+
+
 def adopt_partitions(state: FleetState, table: PartitionTable, revision: int) -> bool:
     """Adopt a partition table if its store revision is higher than the current one."""
     if revision <= state.partitions_revision:
--- a/src/pomeloyard/jobs/job.py
+++ b/src/pomeloyard/jobs/job.py
@@ -43,6 +43,7 @@
     SHARE_USED = "share-used"
     QUARANTINE = "workers-set-aside"
     NO_WORKERS = "no-workers"
+    ZONE_EVACUATED = "zone-evacuated"
     QUEUE_MISSING = "queue-missing"
     NO_WORKER_LARGE_ENOUGH = "no-worker-large-enough"
     TEAM_LIMIT_TOO_SMALL = "team-limit-too-small"
--- a/src/pomeloyard/jobs/worker_drain.py
+++ b/src/pomeloyard/jobs/worker_drain.py
@@ -44,7 +44,7 @@
             vm = vms.get(name)
             if (
                 vm is None
-                or self._state.accepts_work(vm)
+                or self._state.is_in_service(vm)
                 or not worker_state.tasks_by_id
             ):
                 self._draining_since.pop(name, None)
--- a/src/pomeloyard/jobs/worker_roster.py
+++ b/src/pomeloyard/jobs/worker_roster.py
@@ -81,8 +81,17 @@
             if worker.free_cores > 0
         ) and any(worker.free_cores > 0 for worker in workers.values()):
             return JobReason.QUARANTINE
+        if any(
+            worker.free_cores > 0 and self._is_evacuated(name)
+            for name, worker in workers.items()
+        ):
+            return JobReason.ZONE_EVACUATED
         return reason
 
+    def _is_evacuated(self, name: str) -> bool:
+        vm = self._state.vm_list.vms_by_name.get(name)
+        return vm is not None and self._state.is_evacuated(vm)
+
     def _update_worker(self, vm: Vm) -> bool:
         known = self._links.by_name.get(vm.name)
         if known is not None and known.boot_id != vm.boot_id:
--- a/src/pomeloyard/keyvalue/layout.py
+++ b/src/pomeloyard/keyvalue/layout.py
@@ -5,7 +5,10 @@
 """
 
 WATCHED_PREFIX = "f/"
+CONFIG_PREFIX = "f/config/"
+"""What must not wait for a watch that hangs; read in one call."""
 CONFIG_HEAD = "f/config/head"
+EVACUATIONS = "f/config/evacuations"
 KEYS = "f/keys"
 PARTITIONS = "f/partitions"
 DAEMONS = "f/daemons/"
--- a/src/pomeloyard/metrics.py
+++ b/src/pomeloyard/metrics.py
@@ -148,6 +148,12 @@
         for pair, count in Counter((r.pool, r.state.value) for r in records).items():
             vms.add_metric(list(pair), count)
         yield vms
+        evacuated = GaugeMetricFamily(
+            "pomeloyard_zone_evacuated", "Evacuated availability zones", labels=["zone"]
+        )
+        for zone in sorted(state.evacuated_zones.by_zone):
+            evacuated.add_metric([zone], 1)
+        yield evacuated
 
     def _store_counters(self) -> Iterator[Metric]:
         calls = self._sources.store_calls
--- a/src/pomeloyard/operators/explain_routes.py
+++ b/src/pomeloyard/operators/explain_routes.py
@@ -25,6 +25,7 @@
     KEY = "key"
     MEMBERSHIP = "membership"
     JOB = "job"
+    ZONE = "zone"
 
 
 def explain_routes(context: OperatorContext) -> list[Route]:
--- a/src/pomeloyard/operators/fleet_routes.py
+++ b/src/pomeloyard/operators/fleet_routes.py
@@ -1,4 +1,4 @@
-"""Operator routes for VMs, pools, budgets and waves."""
+"""Operator routes for VMs, pools, budgets, waves and availability zones."""
 
 from __future__ import annotations
 
@@ -8,8 +8,14 @@
 from .support import OperatorContext
 from .vm_routes import vm_routes
 from .wave_routes import wave_routes
+from .zone_routes import zone_routes
 
 
 def fleet_routes(context: OperatorContext) -> list[Route]:
-    """Return the routes below /v1/vms, /v1/pools, /v1/budgets and /v1/waves."""
-    return [*vm_routes(context), *pool_routes(context), *wave_routes(context)]
+    """Return the routes for what operators do with the fleet's VMs."""
+    return [
+        *vm_routes(context),
+        *pool_routes(context),
+        *wave_routes(context),
+        *zone_routes(context),
+    ]
--- a/src/pomeloyard/operators/support.py
+++ b/src/pomeloyard/operators/support.py
@@ -16,6 +16,7 @@
 from ..errors import RefusedError
 from ..explanations import Explanation
 from ..fleet.controller import Controller
+from ..fleet.zones import ZoneService
 from ..fleet_state import FleetState
 from ..heartbeats import DaemonStatus
 from ..jobs.store import JobStore
@@ -40,6 +41,7 @@
     jobs: JobStore
     decisions: DecisionLog
     keys: KeyService
+    zones: ZoneService
     daemon_statuses: Callable[[], list[DaemonStatus]]
     team_usage: Callable[[], object]
     explain: Callable[[str], Awaitable[Explanation]]
--- a/tests/outer/test_encoded_forms.py
+++ b/tests/outer/test_encoded_forms.py
@@ -126,6 +126,8 @@
     "platform.vms._Machine": platform_vms._Machine,
     "platform.vms._Page": platform_vms._MachinePage,
     "platform.vms._Reason": platform_vms._ConflictResponse,
+    "fleet_state.EvacuatedZones": fleet_state.EvacuatedZones,
+    "fleet_state.Evacuation": fleet_state.Evacuation,
     "usage.TeamUsage": usage.TeamUsage,
     "vm_platform.directory.Vm": directory.Vm,
     "vm_platform.directory.VmList": directory.VmList,
@@ -167,6 +169,13 @@
     assert msgspec.msgpack.decode(content, type=kind) == sample(kind)
 
 
+@pytest.mark.parametrize("name", sorted(FORMS["before_added_fields"]))
+def test_a_form_without_fields_that_were_added_later_is_read(name):
+    kind, form = TYPES_BY_NAME[name], FORMS["before_added_fields"][name]
+    assert msgspec.json.decode(form["json"], type=kind)
+    assert msgspec.msgpack.decode(bytes.fromhex(form["msgpack"]), type=kind)
+
+
 def test_peer_frames_are_encoded_as_before():
     assert frames() == FORMS["frames"]
 
--- a/tests/test_batch_history.py
+++ b/tests/test_batch_history.py
@@ -45,6 +45,19 @@
     assert state == "no placing daemon logged its state"
 
 
+def test_a_job_that_waited_for_an_evacuated_zone_says_so():
+    lines = parse(
+        decision(1.0, "d-1", "zone", "bulacan", "evacuated"),
+        decision(2.0, "d-1", "zone", "laguna", "evacuated"),
+        decision(3.0, "d-1", "zone", "laguna", "readmitted"),
+        decision(20.0, "d-1", "call", JOB, "200", method="POST"),
+        decision(24.0, "d-1", "place", f"{JOB}.0.0.1", "i-1", run=1, age_ms=3900),
+    )
+    (text, _) = causes_of(lines)
+    assert "it waited 3.9 s" in text
+    assert "zone evacuated: bulacan;" in text
+
+
 def test_a_refused_call_is_reported_as_without_effect():
     lines = parse(decision(1, "d-1", "call", JOB, "503", method="POST", detail="down"))
     assert "did not take effect" in causes_of(lines)[0]
