--- a/src/pomeloyard/batch/disruption.py
+++ b/src/pomeloyard/batch/disruption.py
@@ -10,7 +10,8 @@
 from collections import Counter
 from collections.abc import Collection, Mapping
 
-from .executor_link import ExecutorLink, Phase, PlacedRun
+from .executor_link import ExecutorLink
+from .placed_run import Phase, PlacedRun
 from .progress import StepRun, Task, TaskState
 
 
--- a/src/pomeloyard/batch/executor_link.py
+++ b/src/pomeloyard/batch/executor_link.py
@@ -3,10 +3,7 @@
 from __future__ import annotations
 
 import random
-from collections.abc import Callable, Collection, Coroutine
 from datetime import timedelta
-from enum import Enum
-from typing import Any, Protocol
 
 import anyio
 import logbook
@@ -27,7 +24,9 @@
     StartAnswer,
     StartOrder,
 )
-from .progress import EndKind, Task
+from .link_handler import LinkHandler
+from .placed_run import Phase, PlacedRun
+from .progress import EndKind
 
 LEASE_DURATION = timedelta(seconds=7)
 """Long enough for tasks to survive a store outage and a failover of the placing role,
@@ -68,126 +67,6 @@
 log = logbook.Logger("pomeloyard.batch.link")
 
 
-class Phase(Enum):
-    """What is known about a run."""
-
-    ASSIGNED = "assigned"
-    """The assignment is not stored yet; no start was sent."""
-    START_SENT = "ordered"
-    RUNNING = "running"
-    UNCONFIRMED = "unsure"
-    """The start got no answer; it may or may not have been carried out."""
-    STOPPING = "stopping"
-
-
-class PlacedRun:
-    """A run that may exist on the executor."""
-
-    __slots__ = (
-        "acknowledged_at",
-        "fence",
-        "gauge",
-        "may_be_stopping",
-        "moved_at",
-        "ordered_at",
-        "pace",
-        "pace_sent_at",
-        "partial",
-        "percent",
-        "phase",
-        "run",
-        "stop_answered_at",
-        "task",
-        "ticket",
-        "unsure",
-    )
-
-    def __init__(self, task: Task, run: int, phase: Phase, fence: int) -> None:
-        self.task = task
-        self.run = run
-        self.phase = phase
-        self.fence = fence
-        self.ticket = ""
-        self.partial = bool(task.saved)
-        """Whether it resumes from a checkpoint, or began in an earlier term."""
-        self.acknowledged_at: timedelta | None = None
-        self.stop_answered_at: timedelta | None = None
-        self.ordered_at: timedelta | None = None
-        self.unsure = False
-        """Whether its start got no answer and no poll has listed the run since."""
-        self.may_be_stopping = False
-        """Whether an earlier term may have ordered its stop."""
-        self.percent = 0
-        self.gauge = 0
-        self.moved_at: timedelta | None = None
-        self.pace = 100
-        self.pace_sent_at = timedelta(0)
-
-
-class LinkHandler(Protocol):
-    """Callbacks of the placing term for the events of a link."""
-
-    first_polls: anyio.Semaphore
-    """Limits how many links make their first poll at once."""
-
-    def handle_run_end(
-        self, link: ExecutorLink, placed: PlacedRun, kind: EndKind, saved: str
-    ) -> None:
-        """Record that a run has ended."""
-
-    def handle_unassigned_end(self, link: ExecutorLink, end: EndedTask) -> str:
-        """Record the end of a run that is not assigned; return the job it changed."""
-        ...
-
-    def handle_run_status(
-        self, link: ExecutorLink, placed: PlacedRun, row: RunningTask
-    ) -> None:
-        """Process the state that an executor reports for a running task."""
-
-    def handle_refused_start(
-        self, link: ExecutorLink, placed: PlacedRun, answer: StartAnswer
-    ) -> None:
-        """Record that a start was certainly not carried out."""
-
-    def handle_link_change(self, link: ExecutorLink) -> None:
-        """React to an executor that became usable or unusable."""
-
-    async def wait_until_durable(self, job_ids: Collection[str]) -> None:
-        """Wait until all recorded changes of some jobs are durable."""
-
-    def spawn(
-        self,
-        link: ExecutorLink | None,
-        work: Callable[..., Coroutine[Any, Any, None]],
-        *args: object,
-    ) -> None:
-        """Run a coroutine function in the background of the term."""
-
-    def may_disrupt(self, placed: PlacedRun) -> bool:
-        """Tell whether a stop stays within the disruption budget of the run's step."""
-        ...
-
-    def may_start_in(self, zone: str) -> bool:
-        """Tell whether tasks may be started in an availability zone now."""
-        ...
-
-    async def wait_until_current(self) -> None:
-        """Wait until the copy of the evacuations is new enough for starts."""
-
-    def handle_stale_fence(self, link: ExecutorLink) -> None:
-        """End the term, as an executor has seen a higher fencing token."""
-
-    def handle_reused_id(self, link: ExecutorLink) -> None:
-        """Record that an executor has restarted under its previous id."""
-
-    def handle_lost_call(self, link: ExecutorLink) -> None:
-        """Record that a call to an executor got no answer."""
-
-    def calls_are_lost(self) -> bool:
-        """Tell whether calls to several executors were lost recently."""
-        ...
-
-
 class ExecutorLink:
     """Renews the leases of one executor's runs and tracks their state."""
 
--- a/src/pomeloyard/batch/pacing.py
+++ b/src/pomeloyard/batch/pacing.py
@@ -11,7 +11,7 @@
 from datetime import timedelta
 
 from ..clock import Clock
-from .executor_link import Phase, PlacedRun
+from .placed_run import Phase, PlacedRun
 
 BACK_OFF_RATIO = 0.92
 """Ratio of tail latency to its target from which best-effort tasks slow down."""
--- a/src/pomeloyard/batch/placing_term.py
+++ b/src/pomeloyard/batch/placing_term.py
@@ -37,7 +37,7 @@
 from .decision_log import JobDecisionLog
 from .demand import PoolDemand
 from .disruption import DisruptionBudgets
-from .executor_link import MAX_REQUEST_DELAY, ExecutorLink, Phase, PlacedRun
+from .executor_link import MAX_REQUEST_DELAY, ExecutorLink
 from .executor_registry import ExecutorRegistry
 from .executors import (
     EndedTask,
@@ -53,20 +53,14 @@
     JobState,
     Queue,
 )
-from .pacing import next_pace
 from .peaks import PeakForecaster
+from .placed_run import Phase, PlacedRun
 from .planner import Planner
 from .policy import DefaultPolicy, Policy
 from .progress import EndKind, JobRun, Task
 from .progress_writer import ProgressWriter, RecordGroup
 from .run_estimates import RunEstimates
-from .stalls import (
-    STALL_AVOID_TIME,
-    STALL_SUSPECT_TIME,
-    STALL_TIMEOUT,
-    slowness,
-    stalled_for,
-)
+from .run_monitor import RunMonitor
 from .usage import Usage
 from .vm_controller import VmController
 
@@ -133,6 +127,7 @@
         self.policy = policy or DefaultPolicy()
         self.usage = Usage()
         self.estimates = RunEstimates()
+        self._run_monitor = RunMonitor(clock, self.estimates, decision_log)
         self.peaks = PeakForecaster()
         self.first_polls = anyio.Semaphore(MAX_CONCURRENT_FIRST_POLLS)
         self._lost_calls = CallLosses()
@@ -623,7 +618,7 @@
         self.usage.remove(executor_id, link.executor.rack, task)
         run_ms = (now - task.started_at) / timedelta(milliseconds=1)
         partial = placed.partial
-        self._update_estimates(task, executor_id, kind, run_ms, partial, now)
+        self._run_monitor.record_end(task, executor_id, kind, run_ms, partial, now)
         was_final = job.final
         job.end(task, placed.run, kind, saved)
         if kind is EndKind.FAILED:
@@ -715,67 +710,11 @@
         )
         self._end_job(job)
 
-    def _update_estimates(
-        self,
-        task: Task,
-        executor_id: str,
-        kind: EndKind,
-        run_ms: float,
-        partial: bool,
-        now: timedelta,
-    ) -> None:
-        spec = task.step.spec
-        if spec.lasting:
-            return
-        if kind is EndKind.DONE:
-            self.estimates.record_completion(
-                task.step, executor_id, run_ms, now, partial=partial
-            )
-        elif kind is EndKind.FAILED:
-            job_id = task.step.job.job_id
-            if self.estimates.record_failure(executor_id, job_id, now):
-                self._decision_log.record(
-                    "executor", executor_id, "set-aside", job=job_id
-                )
-
     def handle_run_status(
         self, link: ExecutorLink, placed: PlacedRun, row: RunningTask
     ) -> None:
         """Throttle filler tasks and detect stalled or slow batch runs."""
-        if placed.phase is not Phase.RUNNING:
-            return
-        spec = placed.task.step.spec
-        if spec.fills:
-            percent = next_pace(placed, link.runs_by_name.values(), self._clock)
-            if percent is not None:
-                link.limit_cpu(placed, percent)
-        elif not spec.lasting and not spec.gang and placed.percent < 100:
-            self._check_progress(link, placed)
-
-    def _check_progress(self, link: ExecutorLink, placed: PlacedRun) -> None:
-        now = self._clock.monotonic()
-        executor_id = link.executor.executor_id
-        expected_ms = self.estimates.expected_ms(placed.task.step)
-        stall_time = stalled_for(placed.moved_at, expected_ms, now)
-        if stall_time >= STALL_SUSPECT_TIME:
-            self.estimates.quarantine(executor_id, now + STALL_AVOID_TIME)
-        if stall_time >= STALL_TIMEOUT:
-            self._decision_log.record(
-                "end",
-                placed.task.name,
-                "stalled",
-                run=placed.run,
-                executor=executor_id,
-                percent=placed.percent,
-                still_ms=round(stall_time / timedelta(milliseconds=1)),
-            )
-            link.stop(placed)
-            return
-        if not placed.partial:
-            running_for = now - placed.task.started_at
-            ratio = slowness(placed.percent, running_for, expected_ms)
-            if ratio is not None:
-                self.estimates.record_progress(executor_id, ratio, now)
+        self._run_monitor.check_status(link, placed)
 
     def handle_refused_start(
         self, link: ExecutorLink, placed: PlacedRun, answer: StartAnswer
--- a/src/pomeloyard/batch/planner.py
+++ b/src/pomeloyard/batch/planner.py
@@ -11,7 +11,7 @@
 from .configuration_follower import ConfigurationFollower
 from .decision_log import JobDecisionLog
 from .executor_choice import FreeCapacityIndex, can_place
-from .executor_link import ExecutorLink, Phase, PlacedRun
+from .executor_link import ExecutorLink
 from .job_ranking import Rank, core_seconds_of, rank
 from .model import (
     NO_RESOURCES,
@@ -21,6 +21,7 @@
     Queue,
     Resources,
 )
+from .placed_run import Phase, PlacedRun
 from .policy import Policy
 from .progress import JobRun, StepRun, Task, TaskState
 from .run_estimates import RunEstimates
--- a/src/pomeloyard/batch/progress_writer.py
+++ b/src/pomeloyard/batch/progress_writer.py
@@ -14,7 +14,8 @@
 from ..errors import StoreError, StoreOutcomeUnknownError
 from ..keyvalue.store import Compare, Delete, Operation, Put, Store, Transaction
 from . import layout
-from .executor_link import ExecutorLink, PlacedRun
+from .executor_link import ExecutorLink
+from .placed_run import PlacedRun
 from .progress import JobRun
 
 MAX_TRANSACTION_ENTRIES = 30
--- a/src/pomeloyard/batch/wave_runner.py
+++ b/src/pomeloyard/batch/wave_runner.py
@@ -14,10 +14,11 @@
 from .decision_log import JobDecisionLog
 from .disruption import DisruptionBudgets
 from .executor_choice import can_place
-from .executor_link import ExecutorLink, Phase, PlacedRun
+from .executor_link import ExecutorLink
 from .fenced_records import FencedRecords
 from .maintenance import MaintenanceCandidate, target_concurrency
 from .model import Wave
+from .placed_run import Phase, PlacedRun
 from .policy import Policy
 from .progress import StepRun
 from .usage import Usage
--- a/tests/test_batch_decisions.py
+++ b/tests/test_batch_decisions.py
@@ -9,7 +9,6 @@
 import pytest
 
 from pomeloyard.batch.call_losses import CallLosses
-from pomeloyard.batch.executor_link import Phase, PlacedRun
 from pomeloyard.batch.job_ranking import rank
 from pomeloyard.batch.maintenance import (
     MAX_DRAIN_TIME,
@@ -21,6 +20,7 @@
 from pomeloyard.batch.model import JobRecord, JobSpec, Queue, StepSpec, Wave
 from pomeloyard.batch.pacing import CHANGE_INTERVAL, next_pace
 from pomeloyard.batch.peaks import NO_ARRIVALS, Peak, PeakForecaster
+from pomeloyard.batch.placed_run import Phase, PlacedRun
 from pomeloyard.batch.pool_scaling import (
     DrainableVm,
     IdleVm,
