--- a/src/pomeloyard/batch/model.py
+++ b/src/pomeloyard/batch/model.py
@@ -232,6 +232,8 @@
             raise _invalid(f"step {number}: only earlier steps can come first")
         if min(step.cpu_millis, step.memory_mb, step.accelerators) < 0:
             raise _invalid(f"step {number}: sizes must not be negative")
+        if step.estimate_ms < 0:
+            raise _invalid(f"step {number}: the estimate must not be negative")
 
 
 def _invalid(detail: str) -> RefusedError:
--- a/src/pomeloyard/batch/run_estimates.py
+++ b/src/pomeloyard/batch/run_estimates.py
@@ -42,6 +42,10 @@
     quarantined_until: timedelta = timedelta(0)
 
 
+MAX_ESTIMATE_MS = 7 * 24 * 3600 * 1000
+"""Longer estimates count as this; a duration must hold the sum over a job's steps."""
+
+
 class RunEstimates:
     """Run times by step and queue, and speed and failures by executor."""
 
@@ -57,7 +61,7 @@
         """
         if step.usual_ms is not None:
             return step.usual_ms
-        estimate = step.spec.estimate_ms
+        estimate = min(max(0, step.spec.estimate_ms), MAX_ESTIMATE_MS)
         mean_log_ms = self._log_ms_by_queue.get(step.job.record.queue)
         if mean_log_ms is None:
             return float(estimate or DEFAULT_RUN_MS)
--- a/src/pomeloyard/operators/bodies.py
+++ b/src/pomeloyard/operators/bodies.py
@@ -17,6 +17,6 @@
     """Return the JSON body as ``kind``; raises RefusedError if it is invalid."""
     try:
         return msgspec.json.decode(await request.body() or b"{}", type=kind)
-    except msgspec.MsgspecError as error:
+    except (msgspec.MsgspecError, RecursionError) as error:
         reason = RefusalReason.INVALID_INPUT
         raise RefusedError(Refused(reason, str(error))) from error
--- a/tests/operators/test_operator_app.py
+++ b/tests/operators/test_operator_app.py
@@ -340,3 +340,9 @@
     assert lines[0] == f"authentication failed: key-invalid key_id={key_id}"
     assert not [line for line in lines if "guess" in line or secret in line]
     assert operator.state.failed_authentications["key-invalid"] == 4
+
+
+def test_a_body_that_is_nested_deeply_is_refused():
+    nested = b'{"vm": "a", "x": ' + b"[" * 100_000 + b"]" * 100_000 + b"}"
+    answer = Operator().call("POST", "/v1/pools/orders/moves", nested)
+    assert answer.status == 400
--- a/tests/platform/test_malformed.py
+++ b/tests/platform/test_malformed.py
@@ -11,7 +11,7 @@
 
 from pomeloyard.batch.configuration_follower import DocumentError
 from pomeloyard.batch.executors import Executor, StartOrder
-from pomeloyard.batch.model import Resources, check_spec
+from pomeloyard.batch.model import Resources, StepSpec, check_spec
 from pomeloyard.errors import CallNotSentError, CallUnansweredError, RefusedError
 from pomeloyard.platform.advice import PlatformAdvice
 from pomeloyard.platform.caller_app import decode_job
@@ -19,6 +19,7 @@
 from pomeloyard.platform.executors import PlatformExecutors
 from pomeloyard.platform.http import Response
 from pomeloyard.platform.vms import PlatformVms
+from tests.support.batch_world import World
 
 pytestmark = pytest.mark.anyio
 SEEDS = range(400)
@@ -161,6 +162,32 @@
         decode(NESTED)
 
 
+async def test_a_job_with_a_negative_estimate_is_refused():
+    job = {**JOB, "steps": [{"count": 2, "cpu": 500, "est_ms": -1}]}
+    with pytest.raises(RefusedError, match="estimate"):
+        check_spec(decode_job(json.dumps(job).encode()))
+
+
+@pytest.mark.parametrize("estimate_ms", [-1, 2**62])
+@pytest.mark.parametrize("known_queue", [False, True])
+async def test_an_absurd_estimate_of_a_stored_job_ends_no_term(
+    monkeypatch, estimate_ms, known_queue
+):
+    # A negative estimate, or one beyond what a duration holds, ended the placing term
+    # of each daemon in turn. An older build has stored such jobs.
+    monkeypatch.setattr("pomeloyard.batch.job_service.check_spec", lambda spec: None)
+    world = World(executors=2)
+    async with world.running() as term:
+        if known_queue:
+            await world.submit("w1", StepSpec(2, 500, 100, estimate_ms=1000))
+            await world.run_for(3)
+        await world.submit("a1", StepSpec(2, 500, 100, estimate_ms=estimate_ms))
+        await world.run_for(1)
+        await world.submit("b1", StepSpec(2, 500, 100, estimate_ms=1000))
+        assert await world.run_for(4, lambda: world.state("b1").value == "completed")
+        assert not term._ended.is_set()
+
+
 async def test_responses_that_are_nested_deeply_count_as_unanswered():
     caller = Caller(NESTED)
     executor = Executor("e", "e:1", "s", "z", Resources(1), (), False, 1)
