--- a/tests/test_fleet_commands.py
+++ b/tests/test_fleet_commands.py
@@ -58,6 +58,7 @@
                 JobStore(fleet.store, fleet.clock, lambda: fleet.state.config),
                 DecisionLog(),
                 keys=None,
+                zones=None,
                 daemon_statuses=list,
                 team_usage=list,
                 explain=no_decisions,
