--- a/src/pomeloyard/keyvalue/etcd.py
+++ b/src/pomeloyard/keyvalue/etcd.py
@@ -41,8 +41,8 @@
 
 CALL_TIMEOUT = timedelta(seconds=2)
 MAX_CALLS_IN_FLIGHT = 8
-SLOT_WAIT_SHARE = 0.5
-"""Longest wait for a free slot, as a share of the call time-out. It ends well before
+SLOT_WAIT_SHARE = 0.9
+"""Longest wait for a free slot, as a share of the call time-out. It ends shortly before
 calls that began at the same time free their slots."""
 FIRST_SEND_EVENT = "http11.send_request_headers.started"
 """Trace event of httpcore after which bytes of a request may have left."""
